--- a/load_balancer/proxy/downstream_connection.py
+++ b/load_balancer/proxy/downstream_connection.py
@@ -11,7 +11,7 @@
 
 from load_balancer.proxy.counters import CloseReason, NodeCounters
 from load_balancer.proxy.eviction import EvictionPriority
-from load_balancer.proxy.http1 import HttpMessage, HttpMessageError, HttpReader
+from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError, HttpReader
 from load_balancer.proxy.loop_iterations import LoopIterations
 from load_balancer.proxy.response_slot import ResponseSlot
 from load_balancer.proxy.rule_guard import Rule, RuleMonitor
--- /dev/null
+++ b/load_balancer/proxy/http/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP/1.1: reading and rendering of messages; header names.  Imports nothing else of the proxy."""
--- a/load_balancer/proxy/http1.py
+++ b/load_balancer/proxy/http/reader.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 framing in both directions: reads bytes into complete messages of bounded size.
 
 Parsing is httptools'; this adds the size limits and the bookkeeping that tells a complete message from a
-part of one.  ``load_balancer.proxy.http1_render`` writes messages.
+part of one.  ``load_balancer.proxy.http.rendering`` writes messages.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import httptools
 
-from load_balancer.proxy.http_headers import CONTENT_LENGTH, TRANSFER_ENCODING
+from load_balancer.proxy.http.headers import CONTENT_LENGTH, TRANSFER_ENCODING
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
--- a/load_balancer/proxy/http1_render.py
+++ b/load_balancer/proxy/http/rendering.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from load_balancer.proxy.http1 import HttpMessage
-from load_balancer.proxy.http_headers import CONTENT_TYPE, IDEMPOTENCY_KEY, REQUEST_ID
+from load_balancer.proxy.http.headers import CONTENT_TYPE, IDEMPOTENCY_KEY, REQUEST_ID
+from load_balancer.proxy.http.reader import HttpMessage
 
 _REASON_PHRASES = {
     200: b"OK",
--- a/load_balancer/proxy/request_parsing.py
+++ b/load_balancer/proxy/request_parsing.py
@@ -6,8 +6,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from load_balancer.proxy.http1 import TOKEN, HttpMessage, HttpMessageError
-from load_balancer.proxy.http_headers import (
+from load_balancer.proxy.http.headers import (
     CLASS,
     COST_HINT,
     DEADLINE,
@@ -16,6 +15,7 @@
     RETRY,
     TENANT,
 )
+from load_balancer.proxy.http.reader import TOKEN, HttpMessage, HttpMessageError
 from load_balancer.settings import Idempotency, Settings
 
 MAX_DEADLINE_S = 3600.0
--- a/load_balancer/proxy/request_table.py
+++ b/load_balancer/proxy/request_table.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from load_balancer.events import EndpointId, RequestId
-from load_balancer.proxy.http1 import HttpMessage
-from load_balancer.proxy.http_headers import REQUEST_ID
+from load_balancer.proxy.http.headers import REQUEST_ID
+from load_balancer.proxy.http.reader import HttpMessage
 from load_balancer.proxy.response_slot import ResponseSlot
 from load_balancer.proxy.rule_guard import RequestGuard
 from load_balancer.proxy.upstream_connection import UpstreamRequest
--- a/load_balancer/proxy/response_slot.py
+++ b/load_balancer/proxy/response_slot.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from load_balancer.proxy.http1_render import render_response
+from load_balancer.proxy.http.rendering import render_response
 
 
 class SlotConnection(Protocol):
--- a/load_balancer/proxy/server.py
+++ b/load_balancer/proxy/server.py
@@ -46,9 +46,9 @@
 from load_balancer.proxy.downstream import DownstreamServer
 from load_balancer.proxy.endpoint_listing import EndpointListing
 from load_balancer.proxy.health_checks import HealthChecker
-from load_balancer.proxy.http1 import HttpMessage, HttpMessageError
-from load_balancer.proxy.http1_render import render_request_head
-from load_balancer.proxy.http_headers import CONTENT_TYPE, REQUEST_ID
+from load_balancer.proxy.http.headers import CONTENT_TYPE, REQUEST_ID
+from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError
+from load_balancer.proxy.http.rendering import render_request_head
 from load_balancer.proxy.lifecycle import GracefulShutdown, Readiness, handle_signals
 from load_balancer.proxy.loop_iterations import LoopIterations
 from load_balancer.proxy.reload import ConfigurationReload
--- a/load_balancer/proxy/upstream_connection.py
+++ b/load_balancer/proxy/upstream_connection.py
@@ -14,8 +14,8 @@
 from typing import Protocol, cast
 
 from load_balancer.events import Outcome
-from load_balancer.proxy.http1 import HttpMessage, HttpMessageError, HttpReader
-from load_balancer.proxy.http_headers import NOT_RUN
+from load_balancer.proxy.http.headers import NOT_RUN
+from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError, HttpReader
 from load_balancer.proxy.socket_poll import poll_socket
 
 log = logging.getLogger(__name__)
--- a/tests/proxy/test_http1.py
+++ b/tests/proxy/http/test_reader.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from load_balancer.proxy.http1 import (
+from load_balancer.proxy.http.reader import (
     MAX_BODY_BYTES,
     MAX_HEAD_BYTES,
     HttpMessage,
     HttpMessageError,
     HttpReader,
 )
-from load_balancer.proxy.http1_render import render_request_head, render_response
+from load_balancer.proxy.http.rendering import render_request_head, render_response
 
 POST = b"POST /api/x?y=1 HTTP/1.1\r\nHost: h\r\nX-Request-Id: 7\r\nContent-Length: 4\r\n\r\nbody"
 
--- a/tests/proxy/upstream_harness.py
+++ b/tests/proxy/upstream_harness.py
@@ -9,7 +9,7 @@
 
 from load_balancer.events import EndpointId, Outcome
 from load_balancer.proxy.endpoint_listing import EndpointListing, ListingReader
-from load_balancer.proxy.http1 import HttpMessage
+from load_balancer.proxy.http.reader import HttpMessage
 from load_balancer.proxy.upstream import UpstreamPools
 from load_balancer.proxy.upstream_connection import UpstreamRequest
 from tests.proxy.fakes import PATIENCE_S, listing, row
