--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -118,7 +118,7 @@
         (
             *WITHOUT_LAST_CHECK,
             Edit(
-                "load_balancer/proxy/clock.py",
+                "load_balancer/proxy/event_loop/clock.py",
                 "return 1000.0 * (self._offset_s + time.monotonic())",
                 "return 1000.0 * time.time()",
             ),
--- a/load_balancer/proxy/discovery_watch.py
+++ b/load_balancer/proxy/discovery_watch.py
@@ -11,8 +11,8 @@
 
 from load_balancer.proxy.address import Address
 from load_balancer.proxy.endpoint_listing import ListingError
+from load_balancer.proxy.event_loop.socket_poll import poll_socket
 from load_balancer.proxy.json_stream import JsonObjectStream, MalformedStreamError
-from load_balancer.proxy.socket_poll import poll_socket
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/proxy/health_checks.py
+++ b/load_balancer/proxy/health_checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from load_balancer.events import EndpointId, HealthCheckEnded, Outcome
-from load_balancer.proxy.clock import Clock
+from load_balancer.proxy.event_loop.clock import Clock
 from load_balancer.proxy.http.reader import HttpMessage
 from load_balancer.proxy.upstream import UpstreamPools
 
--- a/load_balancer/proxy/lifecycle.py
+++ b/load_balancer/proxy/lifecycle.py
@@ -9,7 +9,7 @@
 
 from load_balancer.proxy.discovery import EndpointDiscovery
 from load_balancer.proxy.downstream import DownstreamServer
-from load_balancer.proxy.timers import TimerGroup
+from load_balancer.proxy.event_loop.timer_group import TimerGroup
 from load_balancer.proxy.upstream import UpstreamPools
 
 # For the first word of an agent that pushes lists.  A process starts with a cached list that may be stale,
--- a/load_balancer/proxy/listener.py
+++ b/load_balancer/proxy/listener.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 
 from load_balancer.proxy.downstream_connection import DownstreamConnection
-from load_balancer.proxy.loop_iterations import LoopIterations
-from load_balancer.proxy.socket_poll import poll_socket
+from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
+from load_balancer.proxy.event_loop.socket_poll import poll_socket
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/proxy/reload.py
+++ b/load_balancer/proxy/reload.py
@@ -11,7 +11,7 @@
     reload_discovery_address,
 )
 from load_balancer.proxy.discovery import EndpointDiscovery
-from load_balancer.proxy.timers import TimerGroup
+from load_balancer.proxy.event_loop.timer_group import TimerGroup
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/proxy/upstream_connection.py
+++ b/load_balancer/proxy/upstream_connection.py
@@ -14,9 +14,9 @@
 from typing import Protocol, cast
 
 from load_balancer.events import Outcome
+from load_balancer.proxy.event_loop.socket_poll import poll_socket
 from load_balancer.proxy.http.headers import NOT_RUN
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError, HttpReader
-from load_balancer.proxy.socket_poll import poll_socket
 
 log = logging.getLogger(__name__)
 
--- a/tests/proxy/test_clock.py
+++ b/tests/proxy/event_loop/test_clock.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from load_balancer.proxy.clock import Clock
+from load_balancer.proxy.event_loop.clock import Clock
 
 
 def test_clock_reads_unix_time_and_ignores_step_back(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -12,7 +12,7 @@
     Outcome,
     RequestAbandoned,
 )
-from load_balancer.proxy.clock import Clock
+from load_balancer.proxy.event_loop.clock import Clock
 from load_balancer.proxy.server import Node
 from tests.proxy.fakes import (
     HOST,
