--- a/load_balancer/proxy/request_table.py
+++ b/load_balancer/proxy/request_table.py
@@ -9,8 +9,8 @@
 from load_balancer.events import EndpointId, RequestId
 from load_balancer.proxy.http.headers import REQUEST_ID
 from load_balancer.proxy.http.reader import HttpMessage
+from load_balancer.proxy.observability.rule_guard import RequestGuard
 from load_balancer.proxy.response_slot import ResponseSlot
-from load_balancer.proxy.rule_guard import RequestGuard
 from load_balancer.proxy.upstream_connection import UpstreamRequest
 
 
--- a/load_balancer/proxy/server.py
+++ b/load_balancer/proxy/server.py
@@ -39,7 +39,6 @@
 )
 from load_balancer.policy.balancer import Balancer
 from load_balancer.proxy.configuration import NodeConfiguration
-from load_balancer.proxy.counters import CounterReport, NodeCounters
 from load_balancer.proxy.descriptors import divide_descriptors
 from load_balancer.proxy.discovery import EndpointDiscovery
 from load_balancer.proxy.downstream import DownstreamServer
@@ -52,11 +51,12 @@
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError
 from load_balancer.proxy.http.rendering import render_request_head
 from load_balancer.proxy.lifecycle import GracefulShutdown, Readiness, handle_signals
+from load_balancer.proxy.observability.counters import CounterReport, NodeCounters
+from load_balancer.proxy.observability.rule_guard import RequestGuard, Rule, RuleMonitor
 from load_balancer.proxy.reload import ConfigurationReload
 from load_balancer.proxy.request_parsing import ParsedRequest, RequestParser
 from load_balancer.proxy.request_table import Attempt, PendingRequest, RequestTable
 from load_balancer.proxy.response_slot import ResponseSlot
-from load_balancer.proxy.rule_guard import RequestGuard, Rule, RuleMonitor
 from load_balancer.proxy.upstream import UpstreamPools
 
 log = logging.getLogger(__name__)
--- a/tests/proxy/test_rule_guard.py
+++ b/tests/proxy/observability/test_rule_guard.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer.events import Endpoint, Outcome
-from load_balancer.proxy.rule_guard import RequestGuard, Rule
+from load_balancer.proxy.observability.rule_guard import RequestGuard, Rule
 from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from tests.proxy.fakes import (
     StubServer,
