--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -75,7 +75,7 @@
         frozenset({Rule.DRAIN}),
         (
             Edit(
-                "load_balancer/proxy/endpoint_listing.py",
+                "load_balancer/proxy/discovery/endpoint_listing.py",
                 '"DRAINING": EndpointState.DRAINING',
                 '"DRAINING": EndpointState.SERVING',
             ),
--- a/load_balancer/proxy/configuration.py
+++ b/load_balancer/proxy/configuration.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 from load_balancer.proxy.address import Address, parse_address
-from load_balancer.proxy.endpoint_listing import EndpointListing, ListingError, ListingReader
+from load_balancer.proxy.discovery.endpoint_listing import EndpointListing, ListingError, ListingReader
 from load_balancer.settings import Settings, SettingsError
 from load_balancer.settings_format import read_settings
 
--- a/load_balancer/proxy/discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 from load_balancer.proxy.address import Address
-from load_balancer.proxy.discovery_watch import DiscoveryWatch
-from load_balancer.proxy.endpoint_listing import EndpointListing, ListingError, ListingReader
+from load_balancer.proxy.discovery.endpoint_listing import EndpointListing, ListingError, ListingReader
+from load_balancer.proxy.discovery.watch import DiscoveryWatch
 
 # A pushed list is kept by an agent on the node's own machine, which answers at once and counts what it has as
 # notified: any delay in reading it is taken from the time within which the node must stop sending to a
--- a/load_balancer/proxy/discovery_watch.py
+++ b/load_balancer/proxy/discovery/watch.py
@@ -10,9 +10,9 @@
 import httptools
 
 from load_balancer.proxy.address import Address
-from load_balancer.proxy.endpoint_listing import ListingError
+from load_balancer.proxy.discovery.endpoint_listing import ListingError
+from load_balancer.proxy.discovery.json_stream import JsonObjectStream, MalformedStreamError
 from load_balancer.proxy.event_loop.socket_poll import poll_socket
-from load_balancer.proxy.json_stream import JsonObjectStream, MalformedStreamError
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/proxy/lifecycle.py
+++ b/load_balancer/proxy/lifecycle.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-from load_balancer.proxy.discovery import EndpointDiscovery
+from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
 from load_balancer.proxy.downstream import DownstreamServer
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
 from load_balancer.proxy.upstream import UpstreamPools
--- a/load_balancer/proxy/reload.py
+++ b/load_balancer/proxy/reload.py
@@ -10,7 +10,7 @@
     read_file_stamp,
     reload_discovery_address,
 )
-from load_balancer.proxy.discovery import EndpointDiscovery
+from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
 
 log = logging.getLogger(__name__)
--- a/load_balancer/proxy/server.py
+++ b/load_balancer/proxy/server.py
@@ -40,9 +40,9 @@
 from load_balancer.policy.balancer import Balancer
 from load_balancer.proxy.configuration import NodeConfiguration
 from load_balancer.proxy.descriptors import divide_descriptors
-from load_balancer.proxy.discovery import EndpointDiscovery
+from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
+from load_balancer.proxy.discovery.endpoint_listing import EndpointListing
 from load_balancer.proxy.downstream import DownstreamServer
-from load_balancer.proxy.endpoint_listing import EndpointListing
 from load_balancer.proxy.event_loop.clock import Clock
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -9,7 +9,8 @@
 import pytest
 
 from load_balancer.policy.endpoints import POLL_BACKOFF_MAX_MS
-from load_balancer.proxy import discovery, discovery_watch
+from load_balancer.proxy.discovery import endpoint_discovery
+from load_balancer.proxy.discovery import watch as discovery_watch
 from load_balancer.proxy.server import Node
 from tests.proxy.fakes import (
     PATIENCE_S,
@@ -39,8 +40,8 @@
 
 def test_timeouts_leave_time_for_third_watch() -> None:
     """With the longest timeouts and pauses, where lists are pushed and where they are polled."""
-    pushed = discovery.MAX_RESPONSE_TIMEOUT_S + discovery.MAX_RECONNECT_DELAY_S
-    polled = discovery.MAX_RESPONSE_TIMEOUT_S + POLL_BACKOFF_MAX_MS / 1000.0
+    pushed = endpoint_discovery.MAX_RESPONSE_TIMEOUT_S + endpoint_discovery.MAX_RECONNECT_DELAY_S
+    polled = endpoint_discovery.MAX_RESPONSE_TIMEOUT_S + POLL_BACKOFF_MAX_MS / 1000.0
     silence = discovery_watch.SILENCE_TIMEOUT_S
     assert discovery_watch.HEARTBEAT_INTERVAL_S < silence <= NOTIFIED_S - 2 * pushed
     assert 2 * polled < NOTIFIED_S and silence + polled < NOTIFIED_S
--- a/tests/proxy/test_endpoint_listing.py
+++ b/tests/proxy/discovery/test_endpoint_listing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from load_balancer.proxy.endpoint_listing import ListingError, ListingReader
+from load_balancer.proxy.discovery.endpoint_listing import ListingError, ListingReader
 from tests.proxy.fakes import listing, row
 
 
--- a/tests/proxy/test_discovery_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from load_balancer.proxy import discovery_watch
+from load_balancer.proxy.discovery import watch as discovery_watch
 from tests.proxy.fakes import HOST, StubServer, async_test, listing, reply, row, tell, until, world
 
 
--- a/tests/proxy/upstream_harness.py
+++ b/tests/proxy/upstream_harness.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from load_balancer.events import EndpointId, Outcome
-from load_balancer.proxy.endpoint_listing import EndpointListing, ListingReader
+from load_balancer.proxy.discovery.endpoint_listing import EndpointListing, ListingReader
 from load_balancer.proxy.http.reader import HttpMessage
 from load_balancer.proxy.upstream import UpstreamPools
 from load_balancer.proxy.upstream_connection import UpstreamRequest
