--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -183,14 +183,18 @@
         "reuse with unread input",
         frozenset({Rule.WRONG_BODY}),
         (
-            Edit("load_balancer/proxy/endpoint_pool.py", "REUSE_DELAY_S = 0.02", "REUSE_DELAY_S = 0.0"),
             Edit(
-                "load_balancer/proxy/upstream_connection.py",
+                "load_balancer/proxy/upstream/endpoint_pool.py", "REUSE_DELAY_S = 0.02", "REUSE_DELAY_S = 0.0"
+            ),
+            Edit(
+                "load_balancer/proxy/upstream/connection.py",
                 "        if self._request is None:\n            self.abort()",
                 "        if False:\n            self.abort()",
             ),
-            Edit("load_balancer/proxy/endpoint_pool.py", " and connection.has_no_unread_input()", ""),
-            Edit("load_balancer/proxy/upstream_connection.py", " and not self._reader.surplus", ""),
+            Edit(
+                "load_balancer/proxy/upstream/endpoint_pool.py", " and connection.has_no_unread_input()", ""
+            ),
+            Edit("load_balancer/proxy/upstream/connection.py", " and not self._reader.surplus", ""),
         ),
         frozenset({FaultKind.SERVER_GARBLE, FaultKind.NODE_PAUSE}),
     ),
--- a/load_balancer/proxy/lifecycle.py
+++ b/load_balancer/proxy/lifecycle.py
@@ -10,7 +10,7 @@
 from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
 from load_balancer.proxy.downstream import DownstreamServer
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
-from load_balancer.proxy.upstream import UpstreamPools
+from load_balancer.proxy.upstream.pools import UpstreamPools
 
 # For the first word of an agent that pushes lists.  A process starts with a cached list that may be stale,
 # and what the agent has counts from the first moment on.  It answers at once, but not while discovery is
--- a/load_balancer/proxy/server.py
+++ b/load_balancer/proxy/server.py
@@ -46,7 +46,6 @@
 from load_balancer.proxy.event_loop.clock import Clock
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
-from load_balancer.proxy.health_checks import HealthChecker
 from load_balancer.proxy.http.headers import CONTENT_TYPE, REQUEST_ID
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError
 from load_balancer.proxy.http.rendering import render_request_head
@@ -57,7 +56,8 @@
 from load_balancer.proxy.request_parsing import ParsedRequest, RequestParser
 from load_balancer.proxy.request_table import Attempt, PendingRequest, RequestTable
 from load_balancer.proxy.response_slot import ResponseSlot
-from load_balancer.proxy.upstream import UpstreamPools
+from load_balancer.proxy.upstream.health_checks import HealthChecker
+from load_balancer.proxy.upstream.pools import UpstreamPools
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/proxy/connection_opener.py
+++ b/load_balancer/proxy/upstream/connection_opener.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 
 from load_balancer.events import Outcome
-from load_balancer.proxy.endpoint_pool import EndpointPool
-from load_balancer.proxy.upstream_connection import UpstreamConnection, UpstreamRequest
+from load_balancer.proxy.upstream.connection import UpstreamConnection, UpstreamRequest
+from load_balancer.proxy.upstream.endpoint_pool import EndpointPool
 
 # Of the connect timeout: a connection that takes longer is late, and another is raced against it.
 RACE_DELAY_FRACTION = 1 / 6
--- a/load_balancer/proxy/endpoint_pool.py
+++ b/load_balancer/proxy/upstream/endpoint_pool.py
@@ -7,7 +7,7 @@
 
 from load_balancer.events import Endpoint
 from load_balancer.proxy.address import Address
-from load_balancer.proxy.upstream_connection import UpstreamConnection
+from load_balancer.proxy.upstream.connection import UpstreamConnection
 
 IDLE_TIMEOUT_FRACTION = 0.5  # of the time after which an endpoint closes: a request must never cross that
 # Endpoints may close idle connections sooner than they are configured to, and a request that crosses that
--- a/load_balancer/proxy/health_checks.py
+++ b/load_balancer/proxy/upstream/health_checks.py
@@ -7,7 +7,7 @@
 from load_balancer.events import EndpointId, HealthCheckEnded, Outcome
 from load_balancer.proxy.event_loop.clock import Clock
 from load_balancer.proxy.http.reader import HttpMessage
-from load_balancer.proxy.upstream import UpstreamPools
+from load_balancer.proxy.upstream.pools import UpstreamPools
 
 HEALTH_CHECK_TIMEOUT_S = 0.25
 
--- a/load_balancer/proxy/upstream.py
+++ b/load_balancer/proxy/upstream/pools.py
@@ -7,10 +7,8 @@
 
 from load_balancer.events import Endpoint, EndpointId, EndpointState, Outcome
 from load_balancer.proxy.address import Address
-from load_balancer.proxy.connection_opener import ConnectionOpener
 from load_balancer.proxy.discovery.endpoint_listing import EndpointListing
-from load_balancer.proxy.endpoint_pool import IDLE_TIMEOUT_FRACTION, EndpointPool
-from load_balancer.proxy.upstream_connection import (
+from load_balancer.proxy.upstream.connection import (
     MIN_TIME_LEFT_S,
     MayWrite,
     OutcomeHandler,
@@ -20,6 +18,8 @@
     UpstreamRequest,
     always,
 )
+from load_balancer.proxy.upstream.connection_opener import ConnectionOpener
+from load_balancer.proxy.upstream.endpoint_pool import IDLE_TIMEOUT_FRACTION, EndpointPool
 
 log = logging.getLogger(__name__)
 
--- a/tests/proxy/upstream_harness.py
+++ b/tests/proxy/upstream/harness.py
@@ -10,8 +10,8 @@
 from load_balancer.events import EndpointId, Outcome
 from load_balancer.proxy.discovery.endpoint_listing import EndpointListing, ListingReader
 from load_balancer.proxy.http.reader import HttpMessage
-from load_balancer.proxy.upstream import UpstreamPools
-from load_balancer.proxy.upstream_connection import UpstreamRequest
+from load_balancer.proxy.upstream.connection import UpstreamRequest
+from load_balancer.proxy.upstream.pools import UpstreamPools
 from tests.proxy.fakes import PATIENCE_S, listing, row
 
 REQUEST = b"GET /api/x HTTP/1.1\r\nHost: h\r\n\r\n"
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/upstream/test_connection.py
@@ -20,7 +20,7 @@
     then_reset,
     until,
 )
-from tests.proxy.upstream_harness import OutcomeAndBody, render_request, upstream
+from tests.proxy.upstream.harness import OutcomeAndBody, render_request, upstream
 
 NOT_RUN = "X-Not-Run: 1\r\n"
 NO_LENGTH_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"
--- a/tests/proxy/test_connection_opener.py
+++ b/tests/proxy/upstream/test_connection_opener.py
@@ -10,9 +10,9 @@
 import pytest
 
 from load_balancer.events import Outcome
-from load_balancer.proxy.connection_opener import MAX_RACED_CONNECTIONS
+from load_balancer.proxy.upstream.connection_opener import MAX_RACED_CONNECTIONS
 from tests.proxy.fakes import PATIENCE_S, StubServer, async_test, held, reply, row, until
-from tests.proxy.upstream_harness import upstream
+from tests.proxy.upstream.harness import upstream
 
 
 class LateConnections:
--- a/tests/proxy/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -10,7 +10,7 @@
 import pytest
 
 from load_balancer.events import Outcome
-from load_balancer.proxy.endpoint_pool import REUSE_DELAY_S
+from load_balancer.proxy.upstream.endpoint_pool import REUSE_DELAY_S
 from tests.proxy.fakes import (
     PATIENCE_S,
     Behaviour,
@@ -21,7 +21,7 @@
     silent,
     until,
 )
-from tests.proxy.upstream_harness import upstream
+from tests.proxy.upstream.harness import upstream
 
 
 @pytest.mark.usefixtures("no_reuse_delay")
@@ -82,7 +82,7 @@
 @async_test
 async def test_early_close_by_endpoint_shortens_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """A request that crosses the close may have run: one that must not run twice is lost with it."""
-    monkeypatch.setattr("load_balancer.proxy.endpoint_pool.MIN_RECORDED_IDLE_S", 0.0)
+    monkeypatch.setattr("load_balancer.proxy.upstream.endpoint_pool.MIN_RECORDED_IDLE_S", 0.0)
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
         (pool,) = harness.pools.pools
         configured = pool.idle_timeout_s
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/upstream/test_pools.py
@@ -10,9 +10,9 @@
 
 from load_balancer.events import Outcome
 from load_balancer.proxy.address import Address
-from load_balancer.proxy.upstream import UpstreamPools
+from load_balancer.proxy.upstream.pools import UpstreamPools
 from tests.proxy.fakes import HOST, PATIENCE_S, StubServer, async_test, reply, row, silent
-from tests.proxy.upstream_harness import endpoint_listing, upstream
+from tests.proxy.upstream.harness import endpoint_listing, upstream
 
 
 @async_test
