--- a/load_balancer/proxy/downstream_connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -9,13 +9,13 @@
 from collections import deque
 from socket import socket
 
+from load_balancer.proxy.downstream.eviction import EvictionPriority
+from load_balancer.proxy.downstream.response_slot import ResponseSlot
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
 from load_balancer.proxy.event_loop.socket_poll import poll_socket
-from load_balancer.proxy.eviction import EvictionPriority
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError, HttpReader
 from load_balancer.proxy.observability.counters import CloseReason, NodeCounters
 from load_balancer.proxy.observability.rule_guard import Rule, RuleMonitor
-from load_balancer.proxy.response_slot import ResponseSlot
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/proxy/listener.py
+++ b/load_balancer/proxy/downstream/listener.py
@@ -14,7 +14,7 @@
 import socket
 from collections.abc import Callable
 
-from load_balancer.proxy.downstream_connection import DownstreamConnection
+from load_balancer.proxy.downstream.connection import DownstreamConnection
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
 from load_balancer.proxy.event_loop.socket_poll import poll_socket
 
--- a/load_balancer/proxy/downstream.py
+++ b/load_balancer/proxy/downstream/server.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable
 
 from load_balancer.proxy.descriptors import overflow_of
-from load_balancer.proxy.downstream_connection import EVICTABLE_AFTER_S, REAP_INTERVAL_S, DownstreamConnection
+from load_balancer.proxy.downstream.connection import EVICTABLE_AFTER_S, REAP_INTERVAL_S, DownstreamConnection
+from load_balancer.proxy.downstream.eviction import EvictionPriority, EvictionQueues
+from load_balancer.proxy.downstream.listener import Listener
+from load_balancer.proxy.downstream.request_parsing import ParsedRequest, RequestParser
+from load_balancer.proxy.downstream.response_slot import ResponseSlot
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
-from load_balancer.proxy.eviction import EvictionPriority, EvictionQueues
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError
-from load_balancer.proxy.listener import Listener
 from load_balancer.proxy.observability.counters import CloseReason, NodeCounters
 from load_balancer.proxy.observability.rule_guard import RuleMonitor
-from load_balancer.proxy.request_parsing import ParsedRequest, RequestParser
-from load_balancer.proxy.response_slot import ResponseSlot
 
 # While a connection is not read only a poll of its socket reveals that the client has left.  Each attempt
 # polls for itself before it begins; this ends what waits without an attempt to begin.
--- a/load_balancer/proxy/lifecycle.py
+++ b/load_balancer/proxy/lifecycle.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
-from load_balancer.proxy.downstream import DownstreamServer
+from load_balancer.proxy.downstream.server import DownstreamServer
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
 from load_balancer.proxy.upstream.pools import UpstreamPools
 
--- a/load_balancer/proxy/server.py
+++ b/load_balancer/proxy/server.py
@@ -42,7 +42,9 @@
 from load_balancer.proxy.descriptors import divide_descriptors
 from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
 from load_balancer.proxy.discovery.endpoint_listing import EndpointListing
-from load_balancer.proxy.downstream import DownstreamServer
+from load_balancer.proxy.downstream.request_parsing import ParsedRequest, RequestParser
+from load_balancer.proxy.downstream.response_slot import ResponseSlot
+from load_balancer.proxy.downstream.server import DownstreamServer
 from load_balancer.proxy.event_loop.clock import Clock
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
@@ -53,9 +55,7 @@
 from load_balancer.proxy.observability.counters import CounterReport, NodeCounters
 from load_balancer.proxy.observability.rule_guard import RequestGuard, Rule, RuleMonitor
 from load_balancer.proxy.reload import ConfigurationReload
-from load_balancer.proxy.request_parsing import ParsedRequest, RequestParser
 from load_balancer.proxy.request_table import Attempt, PendingRequest, RequestTable
-from load_balancer.proxy.response_slot import ResponseSlot
 from load_balancer.proxy.upstream.health_checks import HealthChecker
 from load_balancer.proxy.upstream.pools import UpstreamPools
 
--- a/tests/proxy/test_downstream_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from load_balancer.proxy.downstream_connection import (
+from load_balancer.proxy.downstream.connection import (
     IDLE_TIMEOUT_S,
     MAX_PIPELINED_REQUESTS,
     REQUEST_TIMEOUT_S,
@@ -51,7 +51,7 @@
 
 @async_test
 async def test_slow_reader_gets_complete_last_response(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("load_balancer.proxy.downstream_connection.LINGER_S", 0.01)
+    monkeypatch.setattr("load_balancer.proxy.downstream.connection.LINGER_S", 0.01)
     body = b"x" * 60_000
     async with StubServer([reply("200 OK", body)]) as endpoint, world(row("a", endpoint.address)) as w:
         loop = asyncio.get_running_loop()
@@ -79,7 +79,7 @@
 @async_test
 async def test_pipelined_requests_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those within the limit were accepted, and each of them gets a response."""
-    monkeypatch.setattr("load_balancer.proxy.downstream_connection.OPEN_REQUESTS_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("load_balancer.proxy.downstream.connection.OPEN_REQUESTS_TIMEOUT_S", 0.05)
     async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
         recorder = PolicyRecorder(w.node)
         client = await w.caller()
@@ -99,8 +99,8 @@
 async def test_missing_first_request_times_out(
     begun: bytes, status: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("load_balancer.proxy.downstream_connection.FIRST_REQUEST_TIMEOUT_S", 0.05)
-    monkeypatch.setattr("load_balancer.proxy.downstream_connection.UNUSED_IDLE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("load_balancer.proxy.downstream.connection.FIRST_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("load_balancer.proxy.downstream.connection.UNUSED_IDLE_TIMEOUT_S", 0.05)
     async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
         client = await w.caller()
         client.writer.write(begun)
--- a/tests/proxy/test_downstream.py
+++ b/tests/proxy/downstream/test_server.py
@@ -13,11 +13,11 @@
 import pytest
 
 from load_balancer.proxy.descriptors import MIN_OVERFLOW
-from load_balancer.proxy.downstream_connection import (
+from load_balancer.proxy.downstream.connection import (
     PAUSE_READING_AT,
     DownstreamConnection,
 )
-from load_balancer.proxy.eviction import SCAN_LIMIT, EvictionPriority
+from load_balancer.proxy.downstream.eviction import SCAN_LIMIT, EvictionPriority
 from tests.proxy.fakes import (
     PATIENCE_S,
     Caller,
--- a/tests/proxy/node_harness.py
+++ b/tests/proxy/node_harness.py
@@ -23,7 +23,7 @@
     RequestArrived,
     RequestId,
 )
-from load_balancer.proxy.downstream_connection import DownstreamConnection
+from load_balancer.proxy.downstream.connection import DownstreamConnection
 from load_balancer.proxy.request_table import RequestTable
 from load_balancer.proxy.server import Node
 from tests.proxy.fakes import PATIENCE_S, StubServer, World, request, settings, until
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -9,7 +9,7 @@
 
 from load_balancer.actions import Action
 from load_balancer.events import Event, Outcome, RequestArrived, TimerFired
-from load_balancer.proxy import downstream
+from load_balancer.proxy.downstream import server as downstream_server
 from load_balancer.proxy.server import Node
 from tests.proxy.fakes import (
     HOST,
@@ -101,7 +101,7 @@
 @async_test
 async def test_attempt_is_not_written_after_unread_client_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """With two requests open the connection is not read; only the poll of each attempt remains."""
-    monkeypatch.setattr(downstream, "DISCONNECT_CHECK_S", PATIENCE_S)
+    monkeypatch.setattr(downstream_server, "DISCONNECT_CHECK_S", PATIENCE_S)
     async with (
         StubServer([silent]) as endpoint,
         world(row("a", endpoint.address), **PATIENT_CONNECT) as w,
