--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -43,7 +43,7 @@
     """The source that a mutation replaces is not there any more: the mutation has to follow the code."""
 
 
-SERVER = "load_balancer/proxy/server.py"
+SERVER = "load_balancer/proxy/node.py"
 LIFECYCLE = "load_balancer/proxy/lifecycle.py"
 SELECTION = "load_balancer/policy/selection.py"
 RETRIES = "load_balancer/policy/retries.py"
--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -11,7 +11,7 @@
 
 from load_balancer.logging_setup import configure_logging
 from load_balancer.proxy.configuration import ConfigurationError, NodeConfiguration, load_configuration
-from load_balancer.proxy.server import Node
+from load_balancer.proxy.node import Node
 
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2
--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -11,7 +11,7 @@
 from load_balancer.policy.endpoints import POLL_BACKOFF_MAX_MS
 from load_balancer.proxy.discovery import endpoint_discovery
 from load_balancer.proxy.discovery import watch as discovery_watch
-from load_balancer.proxy.server import Node
+from load_balancer.proxy.node import Node
 from tests.proxy.fakes import (
     PATIENCE_S,
     StubDiscovery,
--- a/tests/proxy/event_loop/test_loop_iterations.py
+++ b/tests/proxy/event_loop/test_loop_iterations.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from load_balancer.proxy.server import BUDGET_RESERVE_MS
+from load_balancer.proxy.node import BUDGET_RESERVE_MS
 from tests.proxy.fakes import (
     PATIENCE_S,
     StubServer,
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -23,7 +23,7 @@
 from load_balancer.proxy.configuration import Limits, NodeConfiguration, flatten_settings
 from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
 from load_balancer.proxy.discovery.endpoint_listing import ListingReader
-from load_balancer.proxy.server import Node
+from load_balancer.proxy.node import Node
 from load_balancer.settings_format import read_settings
 
 T = TypeVar("T")
--- a/tests/proxy/node_harness.py
+++ b/tests/proxy/node_harness.py
@@ -24,8 +24,8 @@
     RequestId,
 )
 from load_balancer.proxy.downstream.connection import DownstreamConnection
+from load_balancer.proxy.node import Node
 from load_balancer.proxy.request_table import RequestTable
-from load_balancer.proxy.server import Node
 from tests.proxy.fakes import PATIENCE_S, StubServer, World, request, settings, until
 
 Handle = Callable[[Event, float], list[Action]]
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -10,7 +10,7 @@
 from load_balancer.actions import Action
 from load_balancer.events import Event, Outcome, RequestArrived, TimerFired
 from load_balancer.proxy.downstream import server as downstream_server
-from load_balancer.proxy.server import Node
+from load_balancer.proxy.node import Node
 from tests.proxy.fakes import (
     HOST,
     PATIENCE_S,
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -17,7 +17,7 @@
 )
 from load_balancer.proxy import lifecycle
 from load_balancer.proxy.configuration import load_configuration
-from load_balancer.proxy.server import Node
+from load_balancer.proxy.node import Node
 from tests.proxy.fakes import (
     HOST,
     PATIENCE_S,
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_node.py
@@ -13,7 +13,7 @@
     RequestAbandoned,
 )
 from load_balancer.proxy.event_loop.clock import Clock
-from load_balancer.proxy.server import Node
+from load_balancer.proxy.node import Node
 from tests.proxy.fakes import (
     HOST,
     PATIENCE_S,
