--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -13,26 +13,26 @@
 from load_balancer.proxy.discovery import watch as discovery_watch
 from load_balancer.proxy.node import Node
 from tests.proxy.fakes import (
-    PATIENCE_S,
+    TIMEOUT_S,
+    NodeEnvironment,
     StubDiscovery,
     StubServer,
-    World,
     async_test,
     listing,
     reply,
     row,
-    tell,
+    running_node,
+    send_line,
     until,
-    world,
 )
 
 NOTIFIED_S = 6.0  # so long after a watch fell silent, what it missed counts as notified
 
 
-async def _bodies(w: World, requests: int) -> set[bytes]:
+async def _bodies(environment: NodeEnvironment, requests: int) -> set[bytes]:
     """The bodies that so many requests on one connection are answered with."""
-    client = await w.caller()
-    return {(await client.ask("look")).body for _ in range(requests)}
+    client = await environment.connect_client()
+    return {(await client.fetch("look")).body for _ in range(requests)}
 
 
 # ---------------------------------------------------------------- silence
@@ -59,18 +59,22 @@
     async with (
         StubServer([reply("200 OK", b"a")]) as one,
         StubServer([reply("200 OK", b"b")]) as two,
-        world(row("a", one.address), row("b", two.address), registryMode=mode, guarantees=rare_polls) as w,
+        running_node(
+            row("a", one.address), row("b", two.address), registryMode=mode, guarantees=rare_polls
+        ) as environment,
     ):
-        tell(await w.discovery.watch(), listing(2, reset=False))
-        await until(lambda: w.endpoint_discovery.version == 2)
+        send_line(await environment.discovery.watch(), listing(2, reset=False))
+        await until(lambda: environment.endpoint_discovery.version == 2)
         fell_silent = loop.time()
-        w.discovery.mute = True
-        await w.discovery.watch()
-        w.discovery.mute = False
-        tell(await w.discovery.watch(), listing(3, row("a", one.address, "DRAINING"), reset=False))
-        await until(lambda: w.endpoint_discovery.version == 3)
+        environment.discovery.mute = True
+        await environment.discovery.watch()
+        environment.discovery.mute = False
+        send_line(
+            await environment.discovery.watch(), listing(3, row("a", one.address, "DRAINING"), reset=False)
+        )
+        await until(lambda: environment.endpoint_discovery.version == 3)
         assert loop.time() - fell_silent < NOTIFIED_S
-        assert await _bodies(w, requests=5) == {b"b"}
+        assert await _bodies(environment, requests=5) == {b"b"}
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
@@ -80,15 +84,15 @@
     async with (
         StubServer([reply("200 OK", b"a")]) as one,
         StubServer([reply("200 OK", b"b")]) as two,
-        world(row("a", one.address), registryMode=mode) as w,
+        running_node(row("a", one.address), registryMode=mode) as environment,
     ):
-        silent = await w.discovery.watch()
-        tell(silent, listing(2, row("b", two.address), reset=False))
-        reopened = await w.discovery.watch()
-        assert w.discovery.targets[-1].endswith("from=2")
-        tell(reopened, listing(3, row("a", one.address, "DRAINING"), reset=False))
-        await until(lambda: w.endpoint_discovery.version == 3)
-        assert await _bodies(w, requests=5) == {b"b"}
+        silent = await environment.discovery.watch()
+        send_line(silent, listing(2, row("b", two.address), reset=False))
+        reopened = await environment.discovery.watch()
+        assert environment.discovery.targets[-1].endswith("from=2")
+        send_line(reopened, listing(3, row("a", one.address, "DRAINING"), reset=False))
+        await until(lambda: environment.endpoint_discovery.version == 3)
+        assert await _bodies(environment, requests=5) == {b"b"}
 
 
 @async_test
@@ -97,15 +101,15 @@
     guarantees = {"mustAskInMs": 60_000.0, "stopSendingWithinMs": 250.0}
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        world(known=False, registryMode="pushed", guarantees=guarantees) as w,
+        running_node(has_cached_list=False, registryMode="pushed", guarantees=guarantees) as environment,
     ):
-        await w.discovery.watch()
-        w.discovery.mute = True
-        w.endpoint_discovery.subscribe()
-        await w.discovery.watch()
-        w.discovery.mute = False
-        tell(await w.discovery.watch(), listing(7, row("a", endpoint.address)))
-        await until(lambda: w.endpoint_discovery.version == 7)
+        await environment.discovery.watch()
+        environment.discovery.mute = True
+        environment.endpoint_discovery.subscribe()
+        await environment.discovery.watch()
+        environment.discovery.mute = False
+        send_line(await environment.discovery.watch(), listing(7, row("a", endpoint.address)))
+        await until(lambda: environment.endpoint_discovery.version == 7)
 
 
 # ---------------------------------------------------------------- moves
@@ -117,9 +121,9 @@
     node.reload()
 
 
-async def _reconnect_timer(w: World) -> asyncio.TimerHandle:
+async def _reconnect_timer(environment: NodeEnvironment) -> asyncio.TimerHandle:
     """The timer of the pause before a watch is opened again, once that pause has begun."""
-    timer = await until(lambda: w.endpoint_discovery.reconnect_timer)
+    timer = await until(lambda: environment.endpoint_discovery.reconnect_timer)
     assert timer is not None
     return timer
 
@@ -132,18 +136,18 @@
         StubServer([reply("200 OK")]) as endpoint,
         StubDiscovery() as first,
         StubDiscovery() as second,
-        world(row("a", endpoint.address), path=str(config), registryMode="pushed") as w,
+        running_node(row("a", endpoint.address), path=str(config), registryMode="pushed") as environment,
     ):
-        tell(await w.discovery.watch(), listing(2, row("a", endpoint.address)))
-        await until(lambda: w.endpoint_discovery.version == 2)
-        _move(w.node, config, first.address)
+        send_line(await environment.discovery.watch(), listing(2, row("a", endpoint.address)))
+        await until(lambda: environment.endpoint_discovery.version == 2)
+        _move(environment.node, config, first.address)
         (await first.watch()).transport.abort()
-        reconnect_timer = await _reconnect_timer(w)
-        _move(w.node, config, second.address)
+        reconnect_timer = await _reconnect_timer(environment)
+        _move(environment.node, config, second.address)
         assert reconnect_timer.cancelled()
-        tell(await second.watch(), listing(3, reset=False))
-        await until(lambda: w.endpoint_discovery.version == 3)
-        await asyncio.wait_for(w.discovery.left.wait(), PATIENCE_S)
+        send_line(await second.watch(), listing(3, reset=False))
+        await until(lambda: environment.endpoint_discovery.version == 3)
+        await asyncio.wait_for(environment.discovery.disconnected.wait(), TIMEOUT_S)
         assert second.watches.empty() and len(first.targets) == 1
 
 
@@ -153,12 +157,12 @@
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         StubDiscovery() as moved,
-        world(row("a", endpoint.address), path=str(config), registryMode="pushed") as w,
+        running_node(row("a", endpoint.address), path=str(config), registryMode="pushed") as environment,
     ):
-        (await w.discovery.watch()).transport.abort()
-        reconnect_timer = await _reconnect_timer(w)
-        _move(w.node, config, moved.address)
+        (await environment.discovery.watch()).transport.abort()
+        reconnect_timer = await _reconnect_timer(environment)
+        _move(environment.node, config, moved.address)
         assert reconnect_timer.cancelled()
-        tell(await moved.watch(), listing(3, row("a", endpoint.address)))
-        await until(lambda: w.endpoint_discovery.version == 3)
-        assert len(w.discovery.targets) == 1
+        send_line(await moved.watch(), listing(3, row("a", endpoint.address)))
+        await until(lambda: environment.endpoint_discovery.version == 3)
+        assert len(environment.discovery.targets) == 1
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -9,7 +9,17 @@
 import pytest
 
 from load_balancer.proxy.discovery import watch as discovery_watch
-from tests.proxy.fakes import HOST, StubServer, async_test, listing, reply, row, tell, until, world
+from tests.proxy.fakes import (
+    HOST,
+    StubServer,
+    async_test,
+    listing,
+    reply,
+    row,
+    running_node,
+    send_line,
+    until,
+)
 
 
 def _send_pieces(watch: asyncio.StreamWriter, *pieces: bytes) -> None:
@@ -19,12 +29,15 @@
 
 @async_test
 async def test_indented_list_is_followed() -> None:
-    async with StubServer([reply("200 OK")]) as endpoint, world(known=False, registryMode="pushed") as w:
-        watch = await w.discovery.watch()
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(has_cached_list=False, registryMode="pushed") as environment,
+    ):
+        watch = await environment.discovery.watch()
         text = json.dumps(listing(5, row("a", endpoint.address)), indent=2).encode() + b"\n"
         _send_pieces(watch, b"\n", text[:50], text[50:])
-        await until(lambda: w.endpoint_discovery.version == 5)
-        assert (await (await w.caller()).ask("look")).status == 200
+        await until(lambda: environment.endpoint_discovery.version == 5)
+        assert (await (await environment.connect_client()).fetch("look")).status == 200
 
 
 @pytest.mark.parametrize(
@@ -38,31 +51,33 @@
     monkeypatch.setattr(discovery_watch, "OBJECT_TIMEOUT_S", 0.05)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        world(row("a", endpoint.address), registryMode="pushed") as w,
+        running_node(row("a", endpoint.address), registryMode="pushed") as environment,
     ):
-        watch = await w.discovery.watch()
-        tell(watch, listing(41, row("a", endpoint.address)))
+        watch = await environment.discovery.watch()
+        send_line(watch, listing(41, row("a", endpoint.address)))
         _send_pieces(watch, *pieces)
-        reopened = await w.discovery.watch()
-        assert w.discovery.targets[-1].endswith("from=41")
-        tell(reopened, listing(42, reset=False))
-        await until(lambda: w.endpoint_discovery.version == 42)
+        reopened = await environment.discovery.watch()
+        assert environment.discovery.targets[-1].endswith("from=41")
+        send_line(reopened, listing(42, reset=False))
+        await until(lambda: environment.endpoint_discovery.version == 42)
         assert len([record for record in caplog.records if "discovery" in record.message]) <= 1
-        assert (await (await w.caller()).ask("look")).status == 200, "the last list remains"
+        assert (
+            await (await environment.connect_client()).fetch("look")
+        ).status == 200, "the last list remains"
 
 
 @async_test
 async def test_unread_input_at_silence_timeout_keeps_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """The loop was blocked for longer than the silence timeout, and a heartbeat came in that time."""
     monkeypatch.setattr(discovery_watch, "SILENCE_TIMEOUT_S", 0.2)
-    async with world(registryMode="pushed") as w:
-        stream = await w.discovery.watch()
-        tell(stream, b"")
-        await until(lambda: w.endpoint_discovery.has_received_input)
+    async with running_node(registryMode="pushed") as environment:
+        stream = await environment.discovery.watch()
+        send_line(stream, b"")
+        await until(lambda: environment.endpoint_discovery.has_received_input)
         os.write(stream.get_extra_info("socket").fileno(), b"1\r\n\n\r\n")
-        watch = w.endpoint_discovery.watch
+        watch = environment.endpoint_discovery.watch
         assert watch is not None
         watch.check_silence()  # before the loop reads the heartbeat
-        tell(stream, listing(9, row("a", f"{HOST}:1")))
-        await until(lambda: w.endpoint_discovery.version == 9)
-        assert len(w.discovery.targets) == 1
+        send_line(stream, listing(9, row("a", f"{HOST}:1")))
+        await until(lambda: environment.endpoint_discovery.version == 9)
+        assert len(environment.discovery.targets) == 1
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -13,16 +13,16 @@
     REQUEST_TIMEOUT_S,
 )
 from tests.proxy.fakes import (
-    PATIENCE_S,
+    TIMEOUT_S,
     StubServer,
     async_test,
-    held,
     reply,
     request,
     row,
+    running_node,
     silent,
     until,
-    world,
+    when_released,
 )
 from tests.proxy.node_harness import (
     PolicyRecorder,
@@ -35,17 +35,17 @@
 
 @async_test
 async def test_unreadable_input_is_answered_before_open_requests() -> None:
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        client = await environment.connect_client()
         client.writer.write(request("book"))
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         loop = asyncio.get_running_loop()
         written_at = loop.time()
         client.writer.write(b"nonsense\r\n\r\n" * 5)
-        assert (await client.answer()).status == 400
+        assert (await client.read_response()).status == 400
         assert loop.time() - written_at < 3.0
-        assert await client.ended(), "more than one response"
-        assert not w.node.requests and not w.node.requests.reserved_client_ids
+        assert await client.ends_without_output(), "more than one response"
+        assert not environment.node.requests and not environment.node.requests.reserved_client_ids
         endpoint.release.set()
 
 
@@ -53,10 +53,13 @@
 async def test_slow_reader_gets_complete_last_response(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("load_balancer.proxy.downstream.connection.LINGER_S", 0.01)
     body = b"x" * 60_000
-    async with StubServer([reply("200 OK", body)]) as endpoint, world(row("a", endpoint.address)) as w:
+    async with (
+        StubServer([reply("200 OK", body)]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
         loop = asyncio.get_running_loop()
         with socket.socket() as client:
-            connection = await connect_with_small_buffers(client, w)
+            connection = await connect_with_small_buffers(client, environment)
             await loop.sock_sendall(client, request("look", extra="Connection: close\r\n"))
             await until(lambda: connection.finished)
             assert connection.has_unsent_output(), "the test needs a response beyond the buffers"
@@ -80,15 +83,15 @@
 async def test_pipelined_requests_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those within the limit were accepted, and each of them gets a response."""
     monkeypatch.setattr("load_balancer.proxy.downstream.connection.OPEN_REQUESTS_TIMEOUT_S", 0.05)
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        recorder = PolicyRecorder(w.node)
-        client = await w.caller()
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        recorder = PolicyRecorder(environment.node)
+        client = await environment.connect_client()
         client.writer.write(b"".join(request("look") for _ in range(300)))
-        statuses = [(await client.answer()).status for _ in range(MAX_PIPELINED_REQUESTS)]
+        statuses = [(await client.read_response()).status for _ in range(MAX_PIPELINED_REQUESTS)]
         assert set(statuses) <= {400, 503}, "503 where the policy rejects one in that time"
-        assert await client.ended()
+        assert await client.ends_without_output()
         assert len(recorder.budgets) == MAX_PIPELINED_REQUESTS
-        assert not w.node.requests
+        assert not environment.node.requests
         endpoint.release.set()
 
 
@@ -101,40 +104,40 @@
 ) -> None:
     monkeypatch.setattr("load_balancer.proxy.downstream.connection.FIRST_REQUEST_TIMEOUT_S", 0.05)
     monkeypatch.setattr("load_balancer.proxy.downstream.connection.UNUSED_IDLE_TIMEOUT_S", 0.05)
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        client = await environment.connect_client()
         client.writer.write(begun)
         if status is not None:
-            assert (await client.answer()).status == status
-        assert await client.ended()
+            assert (await client.read_response()).status == status
+        assert await client.ends_without_output()
         assert not endpoint.received
 
 
 @async_test
 async def test_pipelined_requests_are_answered_in_order() -> None:
     behaviours = [reply("200 OK", b"%d" % i) for i in range(8)]
-    async with StubServer(behaviours) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with StubServer(behaviours) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        client = await environment.connect_client()
         client.writer.write(b"".join(request("look", target=f"/api/{i}") for i in range(8)))
-        bodies = [(await client.answer()).body for _ in range(8)]
-        by_target = {got.target: b"%d" % i for i, got in enumerate(endpoint.received)}
+        bodies = [(await client.read_response()).body for _ in range(8)]
+        by_target = {received.target: b"%d" % i for i, received in enumerate(endpoint.received)}
         assert bodies == [by_target[f"/api/{i}"] for i in range(8)]
 
 
 @async_test
 async def test_client_that_leaves_during_a_response_ends_its_other_requests() -> None:
     behaviours = [reply("200 OK", b"x" * 60_000), silent]
-    async with StubServer(behaviours) as endpoint, world(row("a", endpoint.address)) as w:
+    async with StubServer(behaviours) as endpoint, running_node(row("a", endpoint.address)) as environment:
         loop = asyncio.get_running_loop()
         with socket.socket() as client:
-            connection = await connect_with_small_buffers(client, w)
+            connection = await connect_with_small_buffers(client, environment)
             await loop.sock_sendall(client, request("look"))
             await until(lambda: connection.answered)
             assert connection.has_unsent_output(), "the test needs a response beyond the buffers"
             await loop.sock_sendall(client, open_requests(1))
             await until(lambda: len(endpoint.received) == 2)
             client.shutdown(socket.SHUT_WR)
-            await until(lambda: not w.node.requests)
+            await until(lambda: not environment.node.requests)
             assert connection.has_unsent_output(), "the test needs a response that is still being sent"
             endpoint.release.set()
 
@@ -142,30 +145,33 @@
 @async_test
 async def test_later_request_that_stops_is_answered_within_3_s() -> None:
     """A client that has been served before is owed its error in no longer than a new one."""
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
-        assert (await client.ask("look")).status == 200
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client = await environment.connect_client()
+        assert (await client.fetch("look")).status == 200
         loop = asyncio.get_running_loop()
         client.writer.write(request("move", body=b"x" * 10)[:-5])
         stopped_at = loop.time()
-        assert (await client.answer()).status == 408
+        assert (await client.read_response()).status == 408
         assert loop.time() - stopped_at < 3.0
-        assert await client.ended()
+        assert await client.ends_without_output()
 
 
 @async_test
 async def test_requests_before_unacceptable_input_get_their_responses() -> None:
     """They were accepted: what comes behind them is no reason to leave them without a response."""
-    behaviours = [held(reply("200 OK", b"x"))]
-    async with StubServer(behaviours) as endpoint, world(row("a", endpoint.address)) as w:
-        recorder = PolicyRecorder(w.node)
-        client = await w.caller()
+    behaviours = [when_released(reply("200 OK", b"x"))]
+    async with StubServer(behaviours) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        recorder = PolicyRecorder(environment.node)
+        client = await environment.connect_client()
         client.writer.write(b"".join(request("look") for _ in range(MAX_PIPELINED_REQUESTS + 4)))
         await until(lambda: len(recorder.budgets) == MAX_PIPELINED_REQUESTS)
         endpoint.release.set()
-        statuses = [(await client.answer()).status for _ in range(MAX_PIPELINED_REQUESTS + 1)]
+        statuses = [(await client.read_response()).status for _ in range(MAX_PIPELINED_REQUESTS + 1)]
         assert statuses == [200] * MAX_PIPELINED_REQUESTS + [400]
-        assert await client.ended()
+        assert await client.ends_without_output()
 
 
 @pytest.mark.parametrize("within", [False, True], ids=["idle", "half a request"])
@@ -173,8 +179,11 @@
 async def test_connection_with_unread_request_is_not_timed_out(
     within: bool,
 ) -> None:
-    async with StubServer([reply("200 OK", b"x")]) as endpoint, world(row("a", endpoint.address)) as w:
-        client, connection = await answered_client(w)
+    async with (
+        StubServer([reply("200 OK", b"x")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client, connection = await answered_client(environment)
         text = request("look")
         with client:
             if within:
--- a/tests/proxy/downstream/test_request_parsing.py
+++ b/tests/proxy/downstream/test_request_parsing.py
@@ -10,7 +10,7 @@
     reply,
     request,
     row,
-    world,
+    running_node,
 )
 
 
@@ -48,33 +48,42 @@
 )
 @async_test
 async def test_invalid_request_is_answered_at_once_and_not_forwarded(bad: bytes, status: int) -> None:
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client = await environment.connect_client()
         client.writer.write(bad)
-        assert (await client.answer()).status == status
-        assert await client.ended(), "the same could be sent again at full speed"
+        assert (await client.read_response()).status == status
+        assert await client.ends_without_output(), "the same could be sent again at full speed"
         assert not endpoint.received
-        assert (await (await w.caller()).ask("look")).status == 200
+        assert (await (await environment.connect_client()).fetch("look")).status == 200
 
 
 @async_test
 async def test_trailer_does_not_override_head() -> None:
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client = await environment.connect_client()
         head = request("book", name="mine", drop=("Content-Length",), extra="Transfer-Encoding: chunked\r\n")
         client.writer.write(head + b"1\r\nx\r\n0\r\nX-Request-Id: another\r\nX-Class: move\r\n\r\n")
-        assert (await client.answer()).status == 200
+        assert (await client.read_response()).status == 200
         (received,) = endpoint.received
         assert (received.headers["x-request-id"], received.body) == ("mine", b"x")
 
 
 @async_test
 async def test_chunked_body_over_limit_is_rejected_before_its_end() -> None:
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client = await environment.connect_client()
         head = request("book", drop=("Content-Length",), extra="Transfer-Encoding: chunked\r\n")
         client.writer.write(head + b"11000\r\n" + b"x" * 0x11000)
-        assert (await client.answer()).status == 413
+        assert (await client.read_response()).status == 413
         assert not endpoint.received
 
 
@@ -84,13 +93,19 @@
 @async_test
 async def test_deadline_may_have_any_number_of_decimals(deadline: str) -> None:
     """Languages print what they calculated with as many as it takes."""
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        assert (await (await w.caller()).ask("look", deadline=deadline)).status == 200
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        assert (await (await environment.connect_client()).fetch("look", deadline=deadline)).status == 200
 
 
 @pytest.mark.parametrize("hint", ["much", "0", "inf", "250000"])
 @async_test
 async def test_unusable_cost_hint_is_ignored(hint: str) -> None:
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        response = await (await w.caller()).ask("look", extra=f"X-Cost-Hint: {hint}\r\n")
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        response = await (await environment.connect_client()).fetch("look", extra=f"X-Cost-Hint: {hint}\r\n")
         assert response.status == 200
--- a/tests/proxy/downstream/test_server.py
+++ b/tests/proxy/downstream/test_server.py
@@ -19,17 +19,17 @@
 )
 from load_balancer.proxy.downstream.eviction import SCAN_LIMIT, EvictionPriority
 from tests.proxy.fakes import (
-    PATIENCE_S,
-    Caller,
+    TIMEOUT_S,
+    Client,
     StubServer,
     async_test,
-    held,
     reply,
     request,
     row,
+    running_node,
     silent,
     until,
-    world,
+    when_released,
 )
 from tests.proxy.node_harness import (
     answered_client,
@@ -41,7 +41,7 @@
 )
 
 
-def _reset(client: Caller) -> None:
+def _reset(client: Client) -> None:
     client_socket = client.writer.get_extra_info("socket")
     client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
@@ -51,111 +51,128 @@
 async def test_unused_connections_are_evicted_before_used_ones() -> None:
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        world(row("a", endpoint.address), sockets=64) as w,
+        running_node(row("a", endpoint.address), sockets=64) as environment,
     ):
-        used = await w.caller()
-        assert (await used.ask("look")).status == 200
-        most = w.node.downstream.max_connections
-        unused = [await w.caller() for _ in range(most - 1)]
+        used = await environment.connect_client()
+        assert (await used.fetch("look")).status == 200
+        most = environment.node.downstream.max_connections
+        unused = [await environment.connect_client() for _ in range(most - 1)]
         for client in unused:
-            assert (await client.ask(target="/ready")).status == 200
-        silent_ones = [await w.caller() for _ in range(most)]
-        assert await unused[0].ended() and await silent_ones[0].ended()
-        newcomer = await w.caller()
-        assert (await newcomer.ask("look")).status == 200, "rejected, though others could be evicted"
-        assert (await used.ask("look")).status == 200
-        assert len(w.node.downstream.connections) <= most
+            assert (await client.fetch(target="/ready")).status == 200
+        silent_ones = [await environment.connect_client() for _ in range(most)]
+        assert await unused[0].ends_without_output() and await silent_ones[0].ends_without_output()
+        new_client = await environment.connect_client()
+        assert (await new_client.fetch("look")).status == 200, "rejected, though others could be evicted"
+        assert (await used.fetch("look")).status == 200
+        assert len(environment.node.downstream.connections) <= most
 
 
 @async_test
 async def test_new_connections_do_not_evict_each_other_while_others_are_idle() -> None:
     """Each connects, and its request comes a moment later; the table is full of idle connections."""
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address), sockets=96) as w:
-        most = w.node.downstream.max_connections
-        idle = [await w.caller() for _ in range(most)]
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address), sockets=96) as environment,
+    ):
+        most = environment.node.downstream.max_connections
+        idle = [await environment.connect_client() for _ in range(most)]
         for client in idle:
-            assert (await client.ask("look")).status == 200
-        newcomers = [await w.caller() for _ in range(most // 2)]
+            assert (await client.fetch("look")).status == 200
+        newcomers = [await environment.connect_client() for _ in range(most // 2)]
         for client in newcomers:
-            assert (await client.ask("look")).status == 200, "closed before its request could come"
-        assert await idle[0].ended()
-        assert len(w.node.downstream.connections) <= most
+            assert (await client.fetch("look")).status == 200, "closed before its request could come"
+        assert await idle[0].ends_without_output()
+        assert len(environment.node.downstream.connections) <= most
 
 
 @async_test
 async def test_bodies_beyond_memory_limit_are_rejected_until_released() -> None:
     """Guards against being killed for memory by clients that send large bodies all at once."""
-    async with StubServer([silent, reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        w.node.downstream.max_body_bytes = 150
-        first = await w.caller()
+    async with (
+        StubServer([silent, reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        environment.node.downstream.max_body_bytes = 150
+        first = await environment.connect_client()
         first.writer.write(request("book", body=b"x" * 100))
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
-        response = await (await w.caller()).ask("book", body=b"x" * 100)
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
+        response = await (await environment.connect_client()).fetch("book", body=b"x" * 100)
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0
         assert len(endpoint.received) == 1
         first.close()
-        await until(lambda: not w.node.requests)
-        assert (await (await w.caller()).ask("book", body=b"x" * 100)).status == 200
+        await until(lambda: not environment.node.requests)
+        assert (await (await environment.connect_client()).fetch("book", body=b"x" * 100)).status == 200
         endpoint.release.set()
 
 
 @async_test
 async def test_connections_over_limit_are_rejected_and_idle_ones_evicted() -> None:
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address), sockets=64) as w:
-        replace_policy(w.node, ignore_events)
-        most = w.node.downstream.max_connections
-        idle = await w.caller()
-        assert (await idle.ask(target="/ready")).status == 200
-        busy = [await w.caller() for _ in range(most)]
-        assert await idle.ended(), "the idle connection was not evicted"
+    async with (
+        StubServer([silent]) as endpoint,
+        running_node(row("a", endpoint.address), sockets=64) as environment,
+    ):
+        replace_policy(environment.node, ignore_events)
+        most = environment.node.downstream.max_connections
+        idle = await environment.connect_client()
+        assert (await idle.fetch(target="/ready")).status == 200
+        busy = [await environment.connect_client() for _ in range(most)]
+        assert await idle.ends_without_output(), "the idle connection was not evicted"
         for client in busy:
             client.writer.write(request("look", deadline="5"))
-        await until(lambda: len(w.node.requests) >= most)
-        response = await (await w.caller()).ask("look")
+        await until(lambda: len(environment.node.requests) >= most)
+        response = await (await environment.connect_client()).fetch("look")
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0
-        assert len(w.node.requests) == most
+        assert len(environment.node.requests) == most
         endpoint.release.set()
         for client in busy:
             client.close()
 
 
 @pytest.mark.parametrize(
-    "leave", [Caller.close, _reset, lambda client: client.writer.write_eof()], ids=["close", "reset", "eof"]
+    "leave", [Client.close, _reset, lambda client: client.writer.write_eof()], ids=["close", "reset", "eof"]
 )
 @async_test
 async def test_client_that_leaves_while_reading_is_paused_is_noticed(
-    leave: Callable[[Caller], None],
+    leave: Callable[[Client], None],
 ) -> None:
     """Two responses are due, a third request lies unread, and the client's end lies behind that."""
-    async with StubServer([held(reply("200 OK"))]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with (
+        StubServer([when_released(reply("200 OK"))]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client = await environment.connect_client()
         client.writer.write(open_requests(2))
         await until(lambda: len(endpoint.received) == PAUSE_READING_AT)
-        (connection,) = w.node.downstream.connections
+        (connection,) = environment.node.downstream.connections
         assert connection.client_socket is not None and not connection.is_reading
         client.writer.write(open_requests(1))
         await client.writer.drain()
         leave(client)
-        await until(lambda: not w.node.requests)
-        await until(lambda: not w.node.downstream.connections)
+        await until(lambda: not environment.node.requests)
+        await until(lambda: not environment.node.downstream.connections)
         endpoint.release.set()
-        await until(lambda: not w.node.requests.attempts_in_flight)
-        assert (await (await w.caller()).ask("look")).status == 200
+        await until(lambda: not environment.node.requests.attempts_in_flight)
+        assert (await (await environment.connect_client()).fetch("look")).status == 200
         assert len(endpoint.received) == PAUSE_READING_AT + 1, "what nobody waited for was forwarded"
-        assert not w.node.downstream.paused_connections
+        assert not environment.node.downstream.paused_connections
 
 
 @async_test
 async def test_connection_with_unread_request_is_not_evicted() -> None:
     """It counts as accepted, and the close would reset it with no response."""
-    async with StubServer([reply("200 OK", b"x")]) as endpoint, world(row("a", endpoint.address)) as w:
-        client, connection = await answered_client(w)
+    async with (
+        StubServer([reply("200 OK", b"x")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client, connection = await answered_client(environment)
         with client:
             client.sendall(request("look"))  # and before the loop's next iteration
-            assert not w.node.downstream.evict_one(DownstreamConnection(w.node.downstream))
-            assert connection in w.node.downstream.connections
+            assert not environment.node.downstream.evict_one(
+                DownstreamConnection(environment.node.downstream)
+            )
+            assert connection in environment.node.downstream.connections
             responses = asyncio.create_task(read_to_end(client))
             await until(lambda: len(endpoint.received) == 2)
             connection.evict()
@@ -174,22 +191,25 @@
         return is_evictable(connection, now)
 
     monkeypatch.setattr(DownstreamConnection, "is_evictable", recorded)
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        most = w.node.downstream.max_connections
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        most = environment.node.downstream.max_connections
         incomplete = EvictionPriority.REQUEST_INCOMPLETE
-        clients = [await w.caller() for _ in range(most)]
+        clients = [await environment.connect_client() for _ in range(most)]
         for client in clients:
             client.writer.write(request("look")[:30])  # none of them may be evicted yet
-        await until(lambda: w.node.downstream.eviction_queues.count(incomplete) == most)
+        await until(lambda: environment.node.downstream.eviction_queues.count(incomplete) == most)
         examined.clear()
-        newcomer = await w.caller()
-        await until(lambda: len(w.node.downstream.connections) == most + 1)
+        new_client = await environment.connect_client()
+        await until(lambda: len(environment.node.downstream.connections) == most + 1)
         assert 0 < len(examined) <= 4 * SCAN_LIMIT
         for client in clients:
             client.close()
-        newcomer.close()
-        await until(lambda: not w.node.downstream.connections)
-        assert not w.node.downstream.eviction_queues, "a queue holds on to what has gone"
+        new_client.close()
+        await until(lambda: not environment.node.downstream.connections)
+        assert not environment.node.downstream.eviction_queues, "a queue holds on to what has gone"
 
 
 @contextlib.contextmanager
@@ -208,44 +228,50 @@
 @async_test
 async def test_client_that_cannot_be_accepted_for_a_moment_is_served_after_it() -> None:
     """The system has accepted its connection already: a close would reset it with its request unread."""
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
-        warm = await w.caller()
-        assert (await warm.ask("look")).status == 200
-        with blocking_client(w.address) as client:
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        warm = await environment.connect_client()
+        assert (await warm.fetch("look")).status == 200
+        with blocking_client(environment.address) as client:
             with _no_free_descriptor():
                 for _ in range(20):  # iterations of the loop
                     await asyncio.sleep(0)
-            assert b"200 OK" in await asyncio.wait_for(asyncio.to_thread(client.recv, 4096), PATIENCE_S)
+            assert b"200 OK" in await asyncio.wait_for(asyncio.to_thread(client.recv, 4096), TIMEOUT_S)
 
 
 @async_test
 async def test_connections_beyond_the_table_are_answered() -> None:
     """With few descriptors a few more are accepted and answered 503, and others wait to be accepted."""
     async with (
-        StubServer([held(reply("200 OK"))]) as endpoint,
-        world(row("a", endpoint.address), sockets=30) as w,
+        StubServer([when_released(reply("200 OK"))]) as endpoint,
+        running_node(row("a", endpoint.address), sockets=30) as environment,
     ):
         clients = []
         for _ in range(12):
-            clients.append(await w.caller())
+            clients.append(await environment.connect_client())
             clients[-1].writer.write(request("look", deadline="8"))
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         endpoint.release.set()
-        statuses = [(await client.answer()).status for client in clients]
+        statuses = [(await client.read_response()).status for client in clients]
         assert set(statuses) <= {200, 503} and 200 in statuses
 
 
 @async_test
-async def test_newcomers_in_a_small_table_have_time_for_their_requests() -> None:
+async def test_new_connections_in_a_small_table_have_time_for_their_requests() -> None:
     """Each was accepted, and its request is on its way; the next one waits to be accepted."""
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address), sockets=30) as w:
-        downstream = w.node.downstream
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address), sockets=30) as environment,
+    ):
+        downstream = environment.node.downstream
         places = downstream.max_connections + MIN_OVERFLOW
-        clients = [await w.caller() for _ in range(places)]
+        clients = [await environment.connect_client() for _ in range(places)]
         await until(lambda: len(downstream.connections) == places)
-        clients.append(await w.caller())
+        clients.append(await environment.connect_client())
         for _ in range(20):  # iterations of the loop, in which it is not accepted
             await asyncio.sleep(0)
         for client in clients:
             client.writer.write(request("look"))
-        assert {(await client.answer()).status for client in clients} <= {200, 503}
+        assert {(await client.read_response()).status for client in clients} <= {200, 503}
--- a/tests/proxy/event_loop/test_loop_iterations.py
+++ b/tests/proxy/event_loop/test_loop_iterations.py
@@ -10,14 +10,14 @@
 
 from load_balancer.proxy.node import BUDGET_RESERVE_MS
 from tests.proxy.fakes import (
-    PATIENCE_S,
+    TIMEOUT_S,
     StubServer,
     async_test,
     reply,
     request,
     row,
+    running_node,
     until,
-    world,
 )
 from tests.proxy.node_harness import (
     PolicyRecorder,
@@ -46,16 +46,21 @@
     new: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Something occupies the loop for 0.8 s, in which requests with deadlines of 1 s and 0.5 s arrive."""
-    async with StubServer([reply("200 OK", b"x")]) as endpoint, world(row("a", endpoint.address)) as w:
-        clients = [] if new else [blocking_client(w.address) for _ in range(2)]
-        await until(lambda: len([c for c in w.node.downstream.connections if c.answered]) == len(clients))
-        recorder = PolicyRecorder(w.node)
+    async with (
+        StubServer([reply("200 OK", b"x")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        clients = [] if new else [blocking_client(environment.address) for _ in range(2)]
+        await until(
+            lambda: len([c for c in environment.node.downstream.connections if c.answered]) == len(clients)
+        )
+        recorder = PolicyRecorder(environment.node)
         clock = _StandingClock(monkeypatch)
         await _idle_iterations(clock)
-        w.node.downstream.iterations.mark_activity()  # from here on the loop is busy
+        environment.node.downstream.iterations.mark_activity()  # from here on the loop is busy
         for i, deadline in enumerate(("1.0", "0.5")):
             if new:
-                clients.append(socket.create_connection(w.address, timeout=PATIENCE_S))
+                clients.append(socket.create_connection(environment.address, timeout=TIMEOUT_S))
             clients[i].sendall(request("look", deadline=deadline))
         clock.now += 0.8
         await until(lambda: len(recorder.budgets) == 2)
@@ -70,12 +75,15 @@
 
 @async_test
 async def test_budget_is_not_cut_when_loop_is_idle(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with StubServer([reply("200 OK", b"x")]) as endpoint, world(row("a", endpoint.address)) as w:
-        with blocking_client(w.address) as client:
-            await until(lambda: any(c.answered for c in w.node.downstream.connections))
-            recorder = PolicyRecorder(w.node)
+    async with (
+        StubServer([reply("200 OK", b"x")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        with blocking_client(environment.address) as client:
+            await until(lambda: any(c.answered for c in environment.node.downstream.connections))
+            recorder = PolicyRecorder(environment.node)
             clock = _StandingClock(monkeypatch)
-            w.node.downstream.iterations.mark_activity()
+            environment.node.downstream.iterations.mark_activity()
             await _idle_iterations(clock)
             client.sendall(request("look", deadline="1.0"))
             await until(lambda: recorder.budgets)
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -30,14 +30,14 @@
 P = ParamSpec("P")
 
 HOST = "127.0.0.1"
-PATIENCE_S = 20.0  # how long a test waits for what must come; reached only by a failing test
+TIMEOUT_S = 20.0  # how long a test waits for what must come; reached only by a failing test
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
     """Run a test on the loop that the node runs on."""
 
     async def bounded() -> None:
-        await asyncio.wait_for(main, 3 * PATIENCE_S)
+        await asyncio.wait_for(main, 3 * TIMEOUT_S)
 
     uvloop.run(bounded())
 
@@ -99,7 +99,7 @@
 
 
 @dataclass
-class Received:
+class ReceivedRequest:
     """A request as an endpoint received it."""
 
     method: str
@@ -116,14 +116,14 @@
     return first, {name.lower(): value.strip() for name, value in pairs}
 
 
-Behaviour = Callable[["StubServer", Received, asyncio.StreamWriter], Awaitable[None]]
+Behaviour = Callable[["StubServer", ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 """What an endpoint does with one request."""
 
 
 def reply(status: str, body: bytes = b"", extra: str = "") -> Behaviour:
     """Respond with this status line, body and header lines."""
 
-    async def behave(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
+    async def behave(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         head = f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
         writer.write(head.encode() + body)
 
@@ -133,7 +133,7 @@
 def raw(text: bytes, *, close: bool = False, times: int = 1) -> Behaviour:
     """Write these bytes as they are, the given number of times."""
 
-    async def behave(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
+    async def behave(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(text * times)
         if close:
             writer.close()
@@ -141,10 +141,10 @@
     return behave
 
 
-def held(behaviour: Behaviour) -> Behaviour:
+def when_released(behaviour: Behaviour) -> Behaviour:
     """Wait until the endpoint's release is set, then behave as given."""
 
-    async def behave(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
+    async def behave(server: StubServer, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await server.release.wait()
         await behaviour(server, received, writer)
 
@@ -158,7 +158,7 @@
     writer.transport.abort()
 
 
-async def reset(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
+async def reset(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Reset the connection."""
     reset_connection(writer)
 
@@ -166,7 +166,7 @@
 def then_reset(text: bytes) -> Behaviour:
     """Write these bytes, then reset the connection."""
 
-    async def behave(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
+    async def behave(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(text)
         await asyncio.sleep(0)  # the bytes are sent before the connection ends
         reset_connection(writer)
@@ -177,18 +177,18 @@
 def in_pieces(*pieces: bytes) -> Behaviour:
     """Write each piece when the endpoint's release is set for it, then close in order."""
 
-    async def behave(server: StubServer, _: Received, writer: asyncio.StreamWriter) -> None:
+    async def behave(server: StubServer, _: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         for piece in pieces:
             await server.release.wait()
             server.release.clear()
             writer.write(piece)
-            server.got.set()
+            server.request_received.set()
         writer.close()
 
     return behave
 
 
-async def silent(server: StubServer, _: Received, __: asyncio.StreamWriter) -> None:
+async def silent(server: StubServer, _: ReceivedRequest, __: asyncio.StreamWriter) -> None:
     """Send no response until the endpoint's release is set, and none after that."""
     await server.release.wait()
 
@@ -199,11 +199,11 @@
 
     behaviours: list[Behaviour]
     address: str = ""
-    received: list[Received] = field(default_factory=list)
+    received: list[ReceivedRequest] = field(default_factory=list)
     release: asyncio.Event = field(default_factory=asyncio.Event)
-    got: asyncio.Event = field(default_factory=asyncio.Event)  # a request has been received
-    left: asyncio.Event = field(default_factory=asyncio.Event)  # a connection has been closed
-    opened: int = 0  # how many connections were accepted
+    request_received: asyncio.Event = field(default_factory=asyncio.Event)  # a request has been received
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)  # a connection has been closed
+    accepted_connections: int = 0  # how many connections were accepted
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
 
     async def __aenter__(self) -> StubServer:
@@ -220,19 +220,19 @@
         self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
+        self.accepted_connections += 1
         self.writers.append(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 first, headers = await read_head(reader)
                 method, target, _ = first.split(" ")
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                request = Received(method, target, headers, body)
+                request = ReceivedRequest(method, target, headers, body)
                 self.received.append(request)
-                self.got.set()
+                self.request_received.set()
                 behave = self.behaviours.pop(0) if len(self.behaviours) > 1 else self.behaviours[0]
                 await behave(self, request, writer)
-        self.left.set()
+        self.disconnected.set()
         writer.close()
 
 
@@ -265,7 +265,7 @@
     address: str = ""
     targets: list[str] = field(default_factory=list)
     watches: asyncio.Queue[asyncio.StreamWriter] = field(default_factory=asyncio.Queue)
-    left: asyncio.Event = field(default_factory=asyncio.Event)  # a watch has been closed
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)  # a watch has been closed
     mute: bool = False  # watches are accepted and get no response
 
     async def __aenter__(self) -> StubDiscovery:
@@ -284,14 +284,14 @@
         self.watches.put_nowait(writer)
         with contextlib.suppress(ConnectionError):
             await reader.read()
-        self.left.set()
+        self.disconnected.set()
 
     async def watch(self) -> asyncio.StreamWriter:
         """The next watch that is opened here."""
-        return await asyncio.wait_for(self.watches.get(), PATIENCE_S)
+        return await asyncio.wait_for(self.watches.get(), TIMEOUT_S)
 
 
-def tell(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
+def send_line(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
     """Send one line on a watch."""
     text = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
     watch.write(b"%x\r\n%s\r\n" % (len(text), text))
@@ -301,7 +301,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     """A response as a client received it."""
 
     status: int
@@ -309,35 +309,35 @@
     body: bytes
 
 
-class Caller:
+class Client:
     """One connection of a client to a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def connect(cls, address: tuple[str, int]) -> Caller:
+    async def connect(cls, address: tuple[str, int]) -> Client:
         """Open a connection."""
         return cls(*await asyncio.open_connection(*address))
 
-    async def answer(self) -> Answer:
+    async def read_response(self) -> Response:
         """Read the next response."""
-        return await asyncio.wait_for(self._answer(), PATIENCE_S)
+        return await asyncio.wait_for(self._read_response(), TIMEOUT_S)
 
-    async def _answer(self) -> Answer:
+    async def _read_response(self) -> Response:
         first, headers = await read_head(self.reader)
         body = await self.reader.readexactly(int(headers["content-length"]))
-        return Answer(int(first.split(" ")[1]), headers, body)
+        return Response(int(first.split(" ")[1]), headers, body)
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Answer:
+    async def fetch(self, *args: Any, **kwargs: Any) -> Response:
         """Send a request, built as by request(), and read the response."""
         self.writer.write(request(*args, **kwargs))
-        return await self.answer()
+        return await self.read_response()
 
-    async def ended(self) -> bool:
+    async def ends_without_output(self) -> bool:
         """Whether the node closes the connection with no further byte; waits for the close."""
         with contextlib.suppress(ConnectionError):
-            return await asyncio.wait_for(self.reader.read(), PATIENCE_S) == b""
+            return await asyncio.wait_for(self.reader.read(), TIMEOUT_S) == b""
         return True
 
     def close(self) -> None:
@@ -380,7 +380,7 @@
 
 
 @dataclass
-class World:
+class NodeEnvironment:
     """A node, its discovery and the task that serves it."""
 
     node: Node
@@ -393,15 +393,15 @@
         """The node's own side of discovery."""
         return self.node.discovery
 
-    async def caller(self) -> Caller:
+    async def connect_client(self) -> Client:
         """Open a client's connection to the node."""
-        return await Caller.connect(self.address)
+        return await Client.connect(self.address)
 
 
 @contextlib.asynccontextmanager
-async def world(
-    *rows: dict[str, Any], sockets: int = 256, known: bool = True, path: str = "", **changes: Any
-) -> AsyncIterator[World]:
+async def running_node(
+    *rows: dict[str, Any], sockets: int = 256, has_cached_list: bool = True, path: str = "", **changes: Any
+) -> AsyncIterator[NodeEnvironment]:
     """A node with these endpoints in its cached list; changes go into its settings."""
     listing_reader = ListingReader(("hall",), ("std",))
     async with StubDiscovery() as discovery:
@@ -414,14 +414,14 @@
             limits=Limits(192, sockets),
             settings=read_settings(dict(flatten_settings(settings(**changes)))),
             listing_reader=listing_reader,
-            cached_listing=listing_reader.read(listing(1, *rows)) if known else None,
+            cached_listing=listing_reader.read(listing(1, *rows)) if has_cached_list else None,
             connection_idle_ms=30_000.0,
         )
         node = Node(config)
         address = await node.start()
         serving = asyncio.create_task(node.wait())
         try:
-            yield World(node, address, discovery, serving)
+            yield NodeEnvironment(node, address, discovery, serving)
         finally:
             node.stop()
-            await asyncio.wait_for(serving, PATIENCE_S)
+            await asyncio.wait_for(serving, TIMEOUT_S)
--- a/tests/proxy/node_harness.py
+++ b/tests/proxy/node_harness.py
@@ -26,7 +26,7 @@
 from load_balancer.proxy.downstream.connection import DownstreamConnection
 from load_balancer.proxy.node import Node
 from load_balancer.proxy.request_table import RequestTable
-from tests.proxy.fakes import PATIENCE_S, StubServer, World, request, settings, until
+from tests.proxy.fakes import TIMEOUT_S, NodeEnvironment, StubServer, request, settings, until
 
 Handle = Callable[[Event, float], list[Action]]
 """What a policy does with one event."""
@@ -118,7 +118,7 @@
 # ---------------------------------------------------------------- connections to endpoints
 
 # Connections that a test delays are waited for as long as it takes.
-PATIENT_CONNECT = policy_limits(connectTimeoutMs=1000.0 * PATIENCE_S)
+LONG_CONNECT_TIMEOUT = policy_limits(connectTimeoutMs=1000.0 * TIMEOUT_S)
 
 
 class DelayedConnections:
@@ -166,16 +166,16 @@
 
 def blocking_client(address: tuple[str, int]) -> socket.socket:
     """A client with a request sent, which acts at once while the node's loop stands still."""
-    client = socket.create_connection(address, timeout=PATIENCE_S)
+    client = socket.create_connection(address, timeout=TIMEOUT_S)
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     client.sendall(request("look"))
     return client
 
 
-async def answered_client(w: World) -> tuple[socket.socket, DownstreamConnection]:
+async def answered_client(environment: NodeEnvironment) -> tuple[socket.socket, DownstreamConnection]:
     """A blocking client whose request has been answered, and the node's end of its connection."""
-    client = blocking_client(w.address)
-    (connection,) = await until(lambda: [c for c in w.node.downstream.connections if c.answered])
+    client = blocking_client(environment.address)
+    (connection,) = await until(lambda: [c for c in environment.node.downstream.connections if c.answered])
     return client, connection
 
 
@@ -185,17 +185,19 @@
     received = b""
     loop = asyncio.get_running_loop()
     with contextlib.suppress(ConnectionError):
-        while part := await asyncio.wait_for(loop.sock_recv(client, 4096), PATIENCE_S):
+        while part := await asyncio.wait_for(loop.sock_recv(client, 4096), TIMEOUT_S):
             received += part
     return received
 
 
-async def connect_with_small_buffers(client: socket.socket, w: World) -> DownstreamConnection:
+async def connect_with_small_buffers(
+    client: socket.socket, environment: NodeEnvironment
+) -> DownstreamConnection:
     """Connect so that a long response does not fit the buffers; gives the node's end of the connection."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     client.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(client, w.address)
-    (connection,) = await until(lambda: list(w.node.downstream.connections))
+    await asyncio.get_running_loop().sock_connect(client, environment.address)
+    (connection,) = await until(lambda: list(environment.node.downstream.connections))
     assert connection.client_socket is not None
     connection.client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
     return connection
--- a/tests/proxy/observability/test_rule_guard.py
+++ b/tests/proxy/observability/test_rule_guard.py
@@ -13,8 +13,8 @@
     reply,
     reset,
     row,
+    running_node,
     until,
-    world,
 )
 
 NEAR = Endpoint(b"near", zone=0, cell=0)
@@ -98,33 +98,36 @@
     async with (
         StubServer([reset, reply("200 OK")]) as one,
         StubServer([reset, reply("200 OK")]) as two,
-        world(row("a", one.address), row("b", two.address)) as w,
+        running_node(row("a", one.address), row("b", two.address)) as environment,
     ):
-        client = await w.caller()
-        assert (await client.ask("book", deadline="0.5")).status >= 500
+        client = await environment.connect_client()
+        assert (await client.fetch("book", deadline="0.5")).status >= 500
         assert len(one.received) + len(two.received) == 1
-        assert w.node.rules.violations[Rule.REPEATED] >= 1
+        assert environment.node.rules.violations[Rule.REPEATED] >= 1
 
 
 @async_test
 async def test_rejection_that_a_faulty_policy_decides_is_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("load_balancer.state.records.Request.repeatable_anywhere", lambda _: True)
-    async with StubServer([reset]) as endpoint, world(row("a", endpoint.address)) as w:
-        assert (await (await w.caller()).ask("book")).status == 502
-        assert w.node.rules.violations == {Rule.REJECTED_AFTER_RUN: 1}
+    async with StubServer([reset]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        assert (await (await environment.connect_client()).fetch("book")).status == 502
+        assert environment.node.rules.violations == {Rule.REJECTED_AFTER_RUN: 1}
 
 
 @async_test
 async def test_counters_follow_requests_and_attempts() -> None:
-    async with StubServer([reply("200 OK"), reset]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
-        await client.ask("look")
-        await client.ask("book")
+    async with (
+        StubServer([reply("200 OK"), reset]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client = await environment.connect_client()
+        await client.fetch("look")
+        await client.fetch("book")
         client.close()
-        counters = w.node.counters
+        counters = environment.node.counters
         assert (counters.accepted, counters.written) == (2, 2)
         assert counters.responses == {200: 1, 502: 1}
         assert counters.outcomes == {Outcome.OK: 1, Outcome.RESET: 1}
-        summary = counters.summary(w.node.rules)
+        summary = counters.summary(environment.node.rules)
         assert "accepted=2" in summary and "finished=not_repeatable:1" in summary
-        await until(lambda: not w.node.downstream.connections)
+        await until(lambda: not environment.node.downstream.connections)
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -13,20 +13,20 @@
 from load_balancer.proxy.node import Node
 from tests.proxy.fakes import (
     HOST,
-    PATIENCE_S,
+    TIMEOUT_S,
     StubServer,
     async_test,
-    held,
     read_head,
     reply,
     request,
     row,
+    running_node,
     silent,
     until,
-    world,
+    when_released,
 )
 from tests.proxy.node_harness import (
-    PATIENT_CONNECT,
+    LONG_CONNECT_TIMEOUT,
     DelayedConnections,
     PolicyRecorder,
     blocking_client,
@@ -41,25 +41,25 @@
 async def test_attempt_is_not_written_when_connection_comes_up_after_client_left(
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    limits = policy_limits(cancel=cancel, connectTimeoutMs=1000.0 * PATIENCE_S)
+    limits = policy_limits(cancel=cancel, connectTimeoutMs=1000.0 * TIMEOUT_S)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        world(row("a", endpoint.address), **limits) as w,
+        running_node(row("a", endpoint.address), **limits) as environment,
     ):
         delayed = DelayedConnections(monkeypatch, [endpoint])
-        recorder = PolicyRecorder(w.node)
-        client = await w.caller()
+        recorder = PolicyRecorder(environment.node)
+        client = await environment.connect_client()
         client.writer.write(request("book"))
-        await asyncio.wait_for(delayed.begun.wait(), PATIENCE_S)
+        await asyncio.wait_for(delayed.begun.wait(), TIMEOUT_S)
         client.close()
-        await until(lambda: not w.node.requests)
+        await until(lambda: not environment.node.requests)
         delayed.release.set()
         await until(lambda: not delayed.opening)
         assert recorder.outcomes in ([Outcome.NOT_SENT], [Outcome.CANCELLED])
-        assert (await (await w.caller()).ask("look", name="next")).status == 200
+        assert (await (await environment.connect_client()).fetch("look", name="next")).status == 200
         assert [received.headers["x-request-id"] for received in endpoint.received] == ["next"]
-        assert not w.node.requests.attempts_in_flight
-        assert not w.node.requests.reserved_client_ids
+        assert not environment.node.requests.attempts_in_flight
+        assert not environment.node.requests.reserved_client_ids
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -68,54 +68,54 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first attempt is answered while the connection of the hedged one is still coming up."""
-    limits = policy_limits(cancel=cancel, connectTimeoutMs=1000.0 * PATIENCE_S, tryLimit=2)
+    limits = policy_limits(cancel=cancel, connectTimeoutMs=1000.0 * TIMEOUT_S, tryLimit=2)
     async with (
         StubServer([reply("200 OK", extra="Connection: close\r\n")]) as one,
         StubServer([reply("200 OK", extra="Connection: close\r\n")]) as two,
-        world(row("a", one.address), row("b", two.address), **limits) as w,
+        running_node(row("a", one.address), row("b", two.address), **limits) as environment,
     ):
-        client = await w.caller()
+        client = await environment.connect_client()
         # From this response on the policy knows how long responses take, and hedges what takes longer.
-        assert (await client.ask("look")).status == 200
+        assert (await client.fetch("look")).status == 200
         warm_up_requests = len(one.received) + len(two.received)
-        one.behaviours[:] = two.behaviours[:] = [held(reply("200 OK", b"first"))]
+        one.behaviours[:] = two.behaviours[:] = [when_released(reply("200 OK", b"first"))]
         delayed = DelayedConnections(monkeypatch, [])
-        recorder = PolicyRecorder(w.node)
+        recorder = PolicyRecorder(environment.node)
         others = {b"a": two, b"b": one}
         recorder.on_attempt = lambda endpoint_id: delayed.delay([others[endpoint_id]])
         client.writer.write(request("look", name="twice", deadline="600"))
-        await asyncio.wait_for(delayed.begun.wait(), PATIENCE_S)
+        await asyncio.wait_for(delayed.begun.wait(), TIMEOUT_S)
         await until(lambda: len(one.received) + len(two.received) > warm_up_requests)
         one.release.set()
         two.release.set()
-        assert (await client.answer()).body == b"first"
+        assert (await client.read_response()).body == b"first"
         delayed.release.set()
         await until(lambda: not delayed.opening)
         assert recorder.outcomes[0] is Outcome.OK, "the outcome that ended it comes first"
         assert len(recorder.outcomes) == 2
         assert len(one.received) + len(two.received) == warm_up_requests + 1
-        assert not w.node.requests.attempts_in_flight
-        assert not w.node.requests.reserved_client_ids
+        assert not environment.node.requests.attempts_in_flight
+        assert not environment.node.requests.reserved_client_ids
 
 
 @async_test
 async def test_attempt_is_not_written_after_unread_client_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """With two requests open the connection is not read; only the poll of each attempt remains."""
-    monkeypatch.setattr(downstream_server, "DISCONNECT_CHECK_S", PATIENCE_S)
+    monkeypatch.setattr(downstream_server, "DISCONNECT_CHECK_S", TIMEOUT_S)
     async with (
         StubServer([silent]) as endpoint,
-        world(row("a", endpoint.address), **PATIENT_CONNECT) as w,
+        running_node(row("a", endpoint.address), **LONG_CONNECT_TIMEOUT) as environment,
     ):
         delayed = DelayedConnections(monkeypatch, [endpoint])
-        client = await w.caller()
+        client = await environment.connect_client()
         client.writer.write(request("look", deadline="600") + request("book", deadline="600"))
         await until(lambda: delayed.opening == 2)
         client.close()
-        await until(lambda: next(iter(w.node.downstream.connections)).client_has_left())
+        await until(lambda: next(iter(environment.node.downstream.connections)).client_has_left())
         delayed.release.set()
         await until(lambda: not delayed.opening)
-        assert nothing_left(w.node.requests)
-        await until(lambda: not w.node.downstream.connections)
+        assert nothing_left(environment.node.requests)
+        await until(lambda: not environment.node.downstream.connections)
         assert not endpoint.received
 
 
@@ -126,17 +126,17 @@
     async with (
         StubServer([silent]) as one,
         StubServer([silent]) as two,
-        world(row("a", one.address), row("b", two.address)) as w,
+        running_node(row("a", one.address), row("b", two.address)) as environment,
     ):
-        recorder = PolicyRecorder(w.node)
-        client = blocking_client(w.address)
+        recorder = PolicyRecorder(environment.node)
+        client = blocking_client(environment.address)
         await until(lambda: one.received or two.received)
         client.close()
-        (attempt,) = w.node.requests.attempts_in_flight
+        (attempt,) = environment.node.requests.attempts_in_flight
         attempt.cancel(outcome)
-        assert nothing_left(w.node.requests)
+        assert nothing_left(environment.node.requests)
         assert recorder.events and recorder.nothing_open
-        await until(lambda: not w.node.downstream.connections)
+        await until(lambda: not environment.node.downstream.connections)
         assert len(one.received) + len(two.received) == 1
 
 
@@ -163,16 +163,16 @@
 @async_test
 async def test_queued_request_of_client_that_left_is_not_sent(caplog: pytest.LogCaptureFixture) -> None:
     """The policy takes it from its queue before the loop reads the client's end."""
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        policy = _QueueingPolicy(w.node)
-        recorder = PolicyRecorder(w.node)
-        client = blocking_client(w.address)
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        policy = _QueueingPolicy(environment.node)
+        recorder = PolicyRecorder(environment.node)
+        client = blocking_client(environment.address)
         await until(lambda: policy.queue)
         client.close()
-        w.node.handle_event(TimerFired(0))
-        assert not policy.queue and nothing_left(w.node.requests)
+        environment.node.handle_event(TimerFired(0))
+        assert not policy.queue and nothing_left(environment.node.requests)
         assert recorder.outcomes == [Outcome.NOT_SENT] and recorder.nothing_open
-        await until(lambda: not w.node.downstream.connections)
+        await until(lambda: not environment.node.downstream.connections)
         assert not endpoint.received
         assert "policy_failed" not in caplog.text
 
@@ -190,10 +190,12 @@
 
     server = await asyncio.start_server(break_at_head, HOST, 0, limit=1024)
     address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-    async with world(row("a", address), row("b", address.replace("127.0.0.1", "127.0.0.2"))) as w:
-        recorder = PolicyRecorder(w.node)
-        client = await w.caller()
-        response = await client.ask("book", body=b"x" * 60_000)
+    async with running_node(
+        row("a", address), row("b", address.replace("127.0.0.1", "127.0.0.2"))
+    ) as environment:
+        recorder = PolicyRecorder(environment.node)
+        client = await environment.connect_client()
+        response = await client.fetch("book", body=b"x" * 60_000)
         assert response.status == 502
         assert recorder.outcomes.count(Outcome.RESET) == 1 and opened == 1
     server.close()
@@ -202,13 +204,15 @@
 @async_test
 async def test_response_and_client_end_in_one_iteration_leave_nothing_open() -> None:
     """The endpoint's response and the client's end both lie unread in the loop's next iteration."""
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        recorder = PolicyRecorder(w.node)
-        client = blocking_client(w.address)
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        recorder = PolicyRecorder(environment.node)
+        client = blocking_client(environment.address)
         await until(lambda: endpoint.writers and endpoint.received)
         text = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
         os.write(endpoint.writers[0].get_extra_info("socket").fileno(), text)
         client.close()
-        await until(lambda: nothing_left(w.node.requests) and not w.node.downstream.connections)
+        await until(
+            lambda: nothing_left(environment.node.requests) and not environment.node.downstream.connections
+        )
         assert recorder.events and recorder.nothing_open
         endpoint.release.set()
--- a/tests/proxy/test_endpoint_faults.py
+++ b/tests/proxy/test_endpoint_faults.py
@@ -15,16 +15,16 @@
 from tests.proxy.fakes import (
     HOST,
     Behaviour,
-    Received,
+    NodeEnvironment,
+    ReceivedRequest,
     StubServer,
-    World,
     async_test,
     reply,
     reset_connection,
     row,
+    running_node,
     silent,
     until,
-    world,
 )
 from tests.proxy.node_harness import (
     policy_limits,
@@ -57,7 +57,7 @@
 def truncated(text: bytes, how: str) -> Behaviour:
     """Write that much of a response, then reset, close, or send nothing more."""
 
-    async def behave(endpoint: StubServer, _: Received, writer: asyncio.StreamWriter) -> None:
+    async def behave(endpoint: StubServer, _: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(text)
         await asyncio.sleep(0)  # the bytes are sent before the connection ends
         if how == "reset":
@@ -91,9 +91,9 @@
     """An orderly close ends it; nothing distinguishes one that was cut off before that."""
     async with (
         StubServer([truncated(TRUNCATED[WITHOUT_LENGTH], "close")]) as endpoint,
-        world(row("a", endpoint.address)) as w,
+        running_node(row("a", endpoint.address)) as environment,
     ):
-        response = await (await w.caller()).ask(kind)
+        response = await (await environment.connect_client()).fetch(kind)
         assert (response.status, response.body) == (200, b"whole")
         assert len(endpoint.received) == 1
 
@@ -108,10 +108,10 @@
     async with (
         StubServer([truncated(text, how)]) as one,
         StubServer([truncated(text, how)]) as two,
-        world(row("a", one.address), row("b", two.address)) as w,
+        running_node(row("a", one.address), row("b", two.address)) as environment,
     ):
         began = loop.time()
-        response = await (await w.caller()).ask(kind, deadline=str(DEADLINE_S))
+        response = await (await environment.connect_client()).fetch(kind, deadline=str(DEADLINE_S))
         assert loop.time() - began < DEADLINE_S + LOST_S
         assert response.status in (
             (502,) if kind == "book" else (502, 503)
@@ -122,7 +122,8 @@
         one.release.set()
         two.release.set()
         await until(
-            lambda: not w.node.requests.attempts_in_flight and not w.node.requests.reserved_client_ids
+            lambda: not environment.node.requests.attempts_in_flight
+            and not environment.node.requests.reserved_client_ids
         )
 
 
@@ -134,10 +135,10 @@
 ) -> None:
     """One of five accepts requests and is silent, and the list still names another that never comes up."""
 
-    async def ask(w: World, kind: str) -> tuple[float, int]:
+    async def ask(environment: NodeEnvironment, kind: str) -> tuple[float, int]:
         began = asyncio.get_running_loop().time()
-        client = await w.caller()
-        response = await client.ask(kind, deadline=str(DEADLINE_S))
+        client = await environment.connect_client()
+        response = await client.fetch(kind, deadline=str(DEADLINE_S))
         return asyncio.get_running_loop().time() - began, response.status
 
     async with contextlib.AsyncExitStack() as stack:
@@ -146,11 +147,11 @@
         lost = stack.enter_context(unreachable())
         rows = [row(f"s{i}", endpoint.address) for i, endpoint in enumerate([*good, mute])]
         rows.append(row("lost", lost))
-        w = await stack.enter_async_context(
-            world(*rows, **policy_limits(mayDuplicate=duplicate, cancel=cancel))
+        environment = await stack.enter_async_context(
+            running_node(*rows, **policy_limits(mayDuplicate=duplicate, cancel=cancel))
         )
         kinds = ("look", "move", "book") * 20
-        ends = await asyncio.gather(*(ask(w, kind) for kind in kinds))
+        ends = await asyncio.gather(*(ask(environment, kind) for kind in kinds))
         assert max(took for took, _ in ends) < DEADLINE_S + LOST_S
         served = [kind for kind, (_, status) in zip(kinds, ends, strict=True) if status == 200]
         assert len(served) > len(kinds) / 2
@@ -159,5 +160,6 @@
         assert len(names) == len(set(names))
         mute.release.set()
         await until(
-            lambda: not w.node.requests.attempts_in_flight and not w.node.requests.reserved_client_ids
+            lambda: not environment.node.requests.attempts_in_flight
+            and not environment.node.requests.reserved_client_ids
         )
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -7,15 +7,15 @@
 import pytest
 
 from tests.proxy.fakes import (
-    PATIENCE_S,
+    TIMEOUT_S,
     StubServer,
     async_test,
     listing,
     reply,
     row,
-    tell,
+    running_node,
+    send_line,
     until,
-    world,
 )
 from tests.proxy.node_harness import (
     PolicyRecorder,
@@ -27,14 +27,14 @@
     async with (
         StubServer([reply("200 OK", b"a")]) as one,
         StubServer([reply("200 OK", b"b")]) as two,
-        world(row("a", one.address)) as w,
+        running_node(row("a", one.address)) as environment,
     ):
-        client = await w.caller()
-        assert (await client.ask("look")).body == b"a"
-        watch = await w.discovery.watch()
-        tell(watch, listing(2, row("a", one.address, "DRAINING"), row("b", two.address), reset=False))
-        await asyncio.wait_for(one.left.wait(), PATIENCE_S)
-        assert {(await client.ask("look")).body for _ in range(5)} == {b"b"}
+        client = await environment.connect_client()
+        assert (await client.fetch("look")).body == b"a"
+        watch = await environment.discovery.watch()
+        send_line(watch, listing(2, row("a", one.address, "DRAINING"), row("b", two.address), reset=False))
+        await asyncio.wait_for(one.disconnected.wait(), TIMEOUT_S)
+        assert {(await client.fetch("look")).body for _ in range(5)} == {b"b"}
         assert len(one.received) == 1
 
 
@@ -43,14 +43,14 @@
     async with (
         StubServer([reply("200 OK", b"old")]) as old,
         StubServer([reply("200 OK", b"new")]) as new,
-        world(row("a", old.address)) as w,
+        running_node(row("a", old.address)) as environment,
     ):
-        client = await w.caller()
-        assert (await client.ask("look")).body == b"old"
-        watch = await w.discovery.watch()
-        tell(watch, listing(2, row("a", new.address, started=1000.0)))
-        await asyncio.wait_for(old.left.wait(), PATIENCE_S)
-        assert (await client.ask("look")).body == b"new"
+        client = await environment.connect_client()
+        assert (await client.fetch("look")).body == b"old"
+        watch = await environment.discovery.watch()
+        send_line(watch, listing(2, row("a", new.address, started=1000.0)))
+        await asyncio.wait_for(old.disconnected.wait(), TIMEOUT_S)
+        assert (await client.fetch("look")).body == b"new"
 
 
 @pytest.mark.parametrize("breaks", ["reset", "bad line", "bad list"])
@@ -58,33 +58,38 @@
 async def test_broken_watch_is_reopened_from_last_version(breaks: str) -> None:
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        world(row("a", endpoint.address)) as w,
+        running_node(row("a", endpoint.address)) as environment,
     ):
-        watch = await w.discovery.watch()
-        tell(watch, listing(41, row("a", endpoint.address)))
+        watch = await environment.discovery.watch()
+        send_line(watch, listing(41, row("a", endpoint.address)))
         if breaks == "reset":
             await watch.drain()
             watch.close()
         else:
-            tell(watch, b"{nonsense" if breaks == "bad line" else b'{"generation":42,"reset":true}')
-        again = await w.discovery.watch()
-        assert w.discovery.targets == ["/v1/endpoints?watch=1&from=1", "/v1/endpoints?watch=1&from=41"]
-        tell(again, listing(42, reset=False))
-        assert (await (await w.caller()).ask("look")).status == 200, "the last list remains"
+            send_line(watch, b"{nonsense" if breaks == "bad line" else b'{"generation":42,"reset":true}')
+        again = await environment.discovery.watch()
+        assert environment.discovery.targets == [
+            "/v1/endpoints?watch=1&from=1",
+            "/v1/endpoints?watch=1&from=41",
+        ]
+        send_line(again, listing(42, reset=False))
+        assert (
+            await (await environment.connect_client()).fetch("look")
+        ).status == 200, "the last list remains"
 
 
 @async_test
 async def test_pushed_list_is_watched_from_start_and_after_break() -> None:
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        world(known=False, registryMode="pushed") as w,
+        running_node(has_cached_list=False, registryMode="pushed") as environment,
     ):
-        recorder = PolicyRecorder(w.node)
-        (await w.discovery.watch()).close()
-        watch = await w.discovery.watch()
-        client = await w.caller()
-        assert (await client.ask(target="/ready")).status == 503, "no list yet"
-        tell(watch, listing(5, row("a", endpoint.address)))
+        recorder = PolicyRecorder(environment.node)
+        (await environment.discovery.watch()).close()
+        watch = await environment.discovery.watch()
+        client = await environment.connect_client()
+        assert (await client.fetch(target="/ready")).status == 503, "no list yet"
+        send_line(watch, listing(5, row("a", endpoint.address)))
         await until(lambda: recorder.events)
-        assert (await client.ask(target="/ready")).status == 200
-        assert (await client.ask("look")).status == 200
+        assert (await client.fetch(target="/ready")).status == 200
+        assert (await client.fetch("look")).status == 200
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -20,20 +20,20 @@
 from load_balancer.proxy.node import Node
 from tests.proxy.fakes import (
     HOST,
-    PATIENCE_S,
+    TIMEOUT_S,
     StubDiscovery,
     StubServer,
     async_test,
-    held,
     listing,
     reply,
     request,
     row,
+    running_node,
+    send_line,
     settings,
     silent,
-    tell,
     until,
-    world,
+    when_released,
 )
 from tests.proxy.node_harness import (
     PolicyRecorder,
@@ -57,24 +57,26 @@
         StubServer([reply("200 OK", b"a")]) as one,
         StubServer([reply("200 OK", b"b")]) as two,
         StubDiscovery() as moved,
-        world(row("a", one.address), path=str(config)) as w,
+        running_node(row("a", one.address), path=str(config)) as environment,
     ):
-        old = await w.discovery.watch()
-        tell(old, listing(41, row("a", one.address)))
-        await until(lambda: w.endpoint_discovery.version == 41)
+        old = await environment.discovery.watch()
+        send_line(old, listing(41, row("a", one.address)))
+        await until(lambda: environment.endpoint_discovery.version == 41)
         config.write_text(json.dumps({"discovery": moved.address}))
         os.kill(os.getpid(), signal.SIGHUP)
         new = await moved.watch()
         assert moved.targets == ["/v1/endpoints?watch=1&from=41"]
-        tell(old, listing(42, row("b", two.address), reset=False))
-        await until(lambda: w.endpoint_discovery.version == 42)
-        assert w.endpoint_discovery.watch is not w.endpoint_discovery.successor is not None
-        tell(new, listing(43, row("a", one.address, "DRAINING"), reset=False))
-        await until(lambda: w.endpoint_discovery.version == 43)
-        await asyncio.wait_for(w.discovery.left.wait(), PATIENCE_S)
-        client = await w.caller()
-        assert {(await client.ask("look")).body for _ in range(5)} == {b"b"}
-        assert len(w.discovery.targets) == 1, "the old address was asked again"
+        send_line(old, listing(42, row("b", two.address), reset=False))
+        await until(lambda: environment.endpoint_discovery.version == 42)
+        assert (
+            environment.endpoint_discovery.watch is not environment.endpoint_discovery.successor is not None
+        )
+        send_line(new, listing(43, row("a", one.address, "DRAINING"), reset=False))
+        await until(lambda: environment.endpoint_discovery.version == 43)
+        await asyncio.wait_for(environment.discovery.disconnected.wait(), TIMEOUT_S)
+        client = await environment.connect_client()
+        assert {(await client.fetch("look")).body for _ in range(5)} == {b"b"}
+        assert len(environment.discovery.targets) == 1, "the old address was asked again"
 
 
 @async_test
@@ -83,19 +85,19 @@
     async with (
         StubServer([reply("200 OK", b"a")]) as endpoint,
         StubDiscovery() as moved,
-        world(row("a", endpoint.address), path=str(config)) as w,
+        running_node(row("a", endpoint.address), path=str(config)) as environment,
     ):
-        recorder = PolicyRecorder(w.node)
-        old = await w.discovery.watch()
-        tell(old, listing(41, row("a", endpoint.address)))
+        recorder = PolicyRecorder(environment.node)
+        old = await environment.discovery.watch()
+        send_line(old, listing(41, row("a", endpoint.address)))
         config.write_text(json.dumps({"discovery": moved.address}))
-        await until(lambda: w.endpoint_discovery.version == 41)
-        w.node.reload()
+        await until(lambda: environment.endpoint_discovery.version == 41)
+        environment.node.reload()
         (await moved.watch()).transport.abort()
         new = await moved.watch()
         old.close()  # as the old discovery does some time after
-        tell(new, listing(42, reset=False))
-        await until(lambda: w.endpoint_discovery.version == 42)
+        send_line(new, listing(42, reset=False))
+        await until(lambda: environment.endpoint_discovery.version == 42)
         assert not [
             e
             for e in recorder.events
@@ -109,20 +111,20 @@
     async with (
         StubServer([reply("200 OK", b"a")]) as endpoint,
         StubDiscovery() as moved,
-        world(
+        running_node(
             row("a", endpoint.address),
             path=str(config),
             guarantees={"mustAskInMs": 60_000.0},
-        ) as w,
+        ) as environment,
     ):
-        w.endpoint_discovery.subscribe()
-        (await w.discovery.watch()).transport.abort()
-        await until(lambda: not w.endpoint_discovery.watch is not None)
+        environment.endpoint_discovery.subscribe()
+        (await environment.discovery.watch()).transport.abort()
+        await until(lambda: not environment.endpoint_discovery.watch is not None)
         config.write_text(json.dumps({"discovery": moved.address}))
-        w.node.reload()  # the policy's next poll is seconds away
-        tell(await moved.watch(), listing(41, row("a", endpoint.address)))
-        await until(lambda: w.endpoint_discovery.version == 41)
-        assert w.endpoint_discovery.watch is not None
+        environment.node.reload()  # the policy's next poll is seconds away
+        send_line(await moved.watch(), listing(41, row("a", endpoint.address)))
+        await until(lambda: environment.endpoint_discovery.version == 41)
+        assert environment.endpoint_discovery.watch is not None
 
 
 @async_test
@@ -148,10 +150,10 @@
     path = tmp_path / "config.json"
     async with StubServer([reply("200 OK")]) as endpoint, StubDiscovery() as moved:
         text = json.dumps({"discovery": moved.address})
-        async with world(row("a", endpoint.address), path=str(path)) as w:
-            await w.discovery.watch()
+        async with running_node(row("a", endpoint.address), path=str(path)) as environment:
+            await environment.discovery.watch()
             path.write_text(text[:-2])
-            w.node.reload()
+            environment.node.reload()
             path.write_text(text)  # and no other signal
             await moved.watch()
 
@@ -165,62 +167,62 @@
     config.write_text(text)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        world(row("a", endpoint.address), path=str(config)) as w,
+        running_node(row("a", endpoint.address), path=str(config)) as environment,
     ):
-        watch = await w.discovery.watch()
-        w.node.reload()
+        watch = await environment.discovery.watch()
+        environment.node.reload()
         assert "configuration_reload_failed" in caplog.text
-        tell(watch, listing(41, row("a", endpoint.address)))
-        assert (await (await w.caller()).ask("look")).status == 200
+        send_line(watch, listing(41, row("a", endpoint.address)))
+        assert (await (await environment.connect_client()).fetch("look")).status == 200
 
 
 @async_test
 async def test_shutdown_closes_after_last_pipelined_request() -> None:
-    behaviours = [held(reply("200 OK")), held(reply("200 OK"))]
-    async with StubServer(behaviours) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    behaviours = [when_released(reply("200 OK")), when_released(reply("200 OK"))]
+    async with StubServer(behaviours) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        client = await environment.connect_client()
         client.writer.write(request("look") + request("look"))
-        await until(lambda: len(w.node.requests) >= 2)
-        w.node.terminate()
+        await until(lambda: len(environment.node.requests) >= 2)
+        environment.node.terminate()
         endpoint.release.set()
-        responses = [await client.answer(), await client.answer()]
+        responses = [await client.read_response(), await client.read_response()]
         assert [response.status for response in responses] == [200, 200]
 
 
 @async_test
 async def test_shutdown_answers_open_and_new_requests() -> None:
     async with (
-        StubServer([held(reply("200 OK", b"first")), reply("200 OK", b"second")]) as endpoint,
-        world(row("a", endpoint.address)) as w,
+        StubServer([when_released(reply("200 OK", b"first")), reply("200 OK", b"second")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
     ):
-        idle, busy = await w.caller(), await w.caller()
-        assert (await idle.ask(target="/ready")).status == 200
+        idle, busy = await environment.connect_client(), await environment.connect_client()
+        assert (await idle.fetch(target="/ready")).status == 200
         busy.writer.write(request("look"))
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
-        w.node.terminate()
-        assert await idle.ended(), "an idle connection stayed open"
-        response = await (await w.caller()).ask(target="/ready")
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
+        environment.node.terminate()
+        assert await idle.ends_without_output(), "an idle connection stayed open"
+        response = await (await environment.connect_client()).fetch(target="/ready")
         assert (response.status, response.headers["connection"]) == (503, "close")
-        response = await (await w.caller()).ask("look")
+        response = await (await environment.connect_client()).fetch("look")
         assert (response.body, response.headers["connection"]) == (b"second", "close")
-        assert not w.serving.done(), "it ended with a request open"
+        assert not environment.serving.done(), "it ended with a request open"
         endpoint.release.set()
-        response = await busy.answer()
+        response = await busy.read_response()
         assert (response.body, response.headers["connection"]) == (b"first", "close")
-        await asyncio.wait_for(w.serving, PATIENCE_S)
+        await asyncio.wait_for(environment.serving, TIMEOUT_S)
 
 
 @async_test
 async def test_request_open_when_shutdown_time_is_over_is_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        client = await environment.connect_client()
         client.writer.write(request("book", deadline="30"))
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
-        monkeypatch.setattr(w.node.shutdown, "answer_within_s", 0.0)
-        w.node.terminate()
-        assert (await client.answer()).status == 500
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
+        monkeypatch.setattr(environment.node.shutdown, "answer_within_s", 0.0)
+        environment.node.terminate()
+        assert (await client.read_response()).status == 500
         endpoint.release.set()
 
 
@@ -230,8 +232,8 @@
 )
 @async_test
 async def test_shutdown_ends_before_sigkill(deadlines_ms: tuple[float, ...], kill_s: float) -> None:
-    async with world(row("a", f"{HOST}:1"), profiles=_classes(*deadlines_ms)) as w:
-        last = w.node.shutdown.answer_within_s
+    async with running_node(row("a", f"{HOST}:1"), profiles=_classes(*deadlines_ms)) as environment:
+        last = environment.node.shutdown.answer_within_s
         assert last >= min(max(deadlines_ms) / 1000.0, 3.0), "what came before SIGTERM has its time"
         end = last + lifecycle.KILL_MARGIN_S / 2 + lifecycle.DRAIN_CHECK_S + lifecycle.FLUSH_S
         assert end + 0.1 <= kill_s
@@ -239,22 +241,28 @@
 
 @async_test
 async def test_new_connection_at_sigterm_gets_response() -> None:
-    async with StubServer([reply("200 OK", b"late")]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
-        await until(lambda: w.node.downstream.connections)
-        w.node.terminate()
-        response = await client.ask("look")
+    async with (
+        StubServer([reply("200 OK", b"late")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client = await environment.connect_client()
+        await until(lambda: environment.node.downstream.connections)
+        environment.node.terminate()
+        response = await client.fetch("look")
         assert (response.body, response.headers["connection"]) == (b"late", "close")
-        assert await client.ended()
+        assert await client.ends_without_output()
 
 
 @async_test
 async def test_unread_request_at_sigterm_gets_response() -> None:
-    async with StubServer([reply("200 OK", b"x")]) as endpoint, world(row("a", endpoint.address)) as w:
-        with blocking_client(w.address) as client:
-            await until(lambda: any(c.answered for c in w.node.downstream.connections))
+    async with (
+        StubServer([reply("200 OK", b"x")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        with blocking_client(environment.address) as client:
+            await until(lambda: any(c.answered for c in environment.node.downstream.connections))
             client.sendall(request("look"))  # and before the loop's next iteration
-            w.node.terminate()
+            environment.node.terminate()
             responses = await read_to_end(client)
             assert responses.count(b"200 OK") == 2
 
@@ -263,30 +271,33 @@
 async def test_unaccepted_connection_at_shutdown_end_gets_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lifecycle, "MIN_DRAIN_S", PATIENCE_S)  # the check is made below
+    monkeypatch.setattr(lifecycle, "MIN_DRAIN_S", TIMEOUT_S)  # the check is made below
     monkeypatch.setattr(lifecycle, "QUIET_PERIOD_S", 0.0)
-    async with StubServer([reply("200 OK", b"x")]) as endpoint, world(row("a", endpoint.address)) as w:
-        w.node.terminate()
-        with blocking_client(w.address) as client:
-            w.node.shutdown.check_drained()  # in the iteration in which it came
+    async with (
+        StubServer([reply("200 OK", b"x")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        environment.node.terminate()
+        with blocking_client(environment.address) as client:
+            environment.node.shutdown.check_drained()  # in the iteration in which it came
             assert b"200 OK" in await read_to_end(client)
-        await asyncio.wait_for(w.serving, PATIENCE_S)
+        await asyncio.wait_for(environment.serving, TIMEOUT_S)
 
 
 @async_test
 async def test_shutdown_deadline_answers_open_requests_and_accepts_none(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        client = await environment.connect_client()
         client.writer.write(open_requests(1))
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
-        w.node.terminate()
-        monkeypatch.setattr(w.node.shutdown, "answer_within_s", -1.0)  # the time has run out
-        with blocking_client(w.address):
-            w.node.shutdown.check_drained()
-            assert (await client.answer()).status == 500
-            await asyncio.wait_for(w.serving, PATIENCE_S)
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
+        environment.node.terminate()
+        monkeypatch.setattr(environment.node.shutdown, "answer_within_s", -1.0)  # the time has run out
+        with blocking_client(environment.address):
+            environment.node.shutdown.check_drained()
+            assert (await client.read_response()).status == 500
+            await asyncio.wait_for(environment.serving, TIMEOUT_S)
         assert len(endpoint.received) == 1
         endpoint.release.set()
 
@@ -297,15 +308,15 @@
     async with (
         StubServer([reply("200 OK", b"a")]) as one,
         StubServer([reply("200 OK", b"b")]) as two,
-        world(row("a", one.address), row("b", two.address), registryMode="pushed") as w,
+        running_node(row("a", one.address), row("b", two.address), registryMode="pushed") as environment,
     ):
-        watch = await w.discovery.watch()
-        client = await w.caller()
-        assert (await client.ask(target="/ready")).status == 503
-        tell(watch, listing(2, row("a", one.address, "DRAINING"), reset=False))
-        await until(lambda: w.endpoint_discovery.has_received_input)
-        assert (await client.ask(target="/ready")).status == 200
-        assert {(await client.ask("look")).body for _ in range(5)} == {b"b"}
+        watch = await environment.discovery.watch()
+        client = await environment.connect_client()
+        assert (await client.fetch(target="/ready")).status == 503
+        send_line(watch, listing(2, row("a", one.address, "DRAINING"), reset=False))
+        await until(lambda: environment.endpoint_discovery.has_received_input)
+        assert (await client.fetch(target="/ready")).status == 200
+        assert {(await client.fetch("look")).body for _ in range(5)} == {b"b"}
 
 
 @async_test
@@ -313,30 +324,30 @@
     monkeypatch.setattr(lifecycle, "FIRST_LIST_WAIT_S", 0.0)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        world(row("a", endpoint.address), registryMode="pushed") as w,
+        running_node(row("a", endpoint.address), registryMode="pushed") as environment,
     ):
-        assert (await (await w.caller()).ask(target="/ready")).status == 200
+        assert (await (await environment.connect_client()).fetch(target="/ready")).status == 200
 
 
 @async_test
 async def test_sighup_after_sigterm_is_followed(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
     async with (
-        StubServer([held(reply("200 OK", b"x"))]) as endpoint,
+        StubServer([when_released(reply("200 OK", b"x"))]) as endpoint,
         StubDiscovery() as moved,
-        world(row("a", endpoint.address), path=str(config), registryMode="pushed") as w,
+        running_node(row("a", endpoint.address), path=str(config), registryMode="pushed") as environment,
     ):
-        (await w.discovery.watch()).transport.abort()  # and its watch is broken as well
-        client = await w.caller()
+        (await environment.discovery.watch()).transport.abort()  # and its watch is broken as well
+        client = await environment.connect_client()
         client.writer.write(open_requests(1))
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
-        w.node.terminate()
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
+        environment.node.terminate()
         config.write_text(json.dumps({"discovery": moved.address}))
-        w.node.reload()
+        environment.node.reload()
         await moved.watch()
         endpoint.release.set()
-        assert (await client.answer()).body == b"x"
-        await asyncio.wait_for(w.serving, PATIENCE_S)
+        assert (await client.read_response()).body == b"x"
+        await asyncio.wait_for(environment.serving, TIMEOUT_S)
 
 
 @async_test
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -16,19 +16,19 @@
 from load_balancer.proxy.node import Node
 from tests.proxy.fakes import (
     HOST,
-    PATIENCE_S,
+    TIMEOUT_S,
     StubServer,
     async_test,
-    held,
     raw,
     reply,
     request,
     reset,
     row,
+    running_node,
     settings,
     silent,
     until,
-    world,
+    when_released,
 )
 from tests.proxy.node_harness import (
     PolicyRecorder,
@@ -51,26 +51,29 @@
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_served_request_passes_through_unchanged() -> None:
-    async with StubServer([reply("200 OK", BODY)]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
-        response = await client.ask(
+    async with (
+        StubServer([reply("200 OK", BODY)]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        client = await environment.connect_client()
+        response = await client.fetch(
             "move", target="/api/k1?x=%20y", body=BODY, deadline="2.5", name="9b1f03aa5c7e2d41"
         )
         assert (response.status, response.body) == (200, BODY)
-        (got,) = endpoint.received
-        assert (got.method, got.target, got.body) == ("POST", "/api/k1?x=%20y", BODY)
-        assert got.headers["x-request-id"] == "9b1f03aa5c7e2d41"
-        assert got.headers["idempotency-key"] == "5c0f6e1a2b3d4c59"
-        assert 0.0 < float(got.headers["x-deadline"]) < 2.5
-        assert (await client.ask("look")).status == 200
-        assert endpoint.opened == 1, "the idle connection was not used again"
+        (received,) = endpoint.received
+        assert (received.method, received.target, received.body) == ("POST", "/api/k1?x=%20y", BODY)
+        assert received.headers["x-request-id"] == "9b1f03aa5c7e2d41"
+        assert received.headers["idempotency-key"] == "5c0f6e1a2b3d4c59"
+        assert 0.0 < float(received.headers["x-deadline"]) < 2.5
+        assert (await client.fetch("look")).status == 200
+        assert endpoint.accepted_connections == 1, "the idle connection was not used again"
 
 
 @async_test
 async def test_request_rejected_by_every_endpoint_gets_503_with_retry_after() -> None:
     full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
-    async with StubServer([full]) as endpoint, world(row("a", endpoint.address)) as w:
-        response = await (await w.caller()).ask("book")
+    async with StubServer([full]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        response = await (await environment.connect_client()).fetch("book")
         assert response.status == 503
         assert 0.0 < float(response.headers["retry-after"]) <= 2.0
 
@@ -80,9 +83,9 @@
     full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
     async with (
         StubServer([full, reply("200 OK", b"b")]) as endpoint,
-        world(row("a", endpoint.address)) as w,
+        running_node(row("a", endpoint.address)) as environment,
     ):
-        assert (await (await w.caller()).ask("book")).status == 200
+        assert (await (await environment.connect_client()).fetch("book")).status == 200
         assert len(endpoint.received) == 2
 
 
@@ -92,9 +95,9 @@
     async with (
         StubServer([behaviour]) as one,  # type: ignore[list-item]
         StubServer([behaviour]) as two,  # type: ignore[list-item]
-        world(row("a", one.address), row("b", two.address)) as w,
+        running_node(row("a", one.address), row("b", two.address)) as environment,
     ):
-        response = await (await w.caller()).ask("book", body=b"slot")
+        response = await (await environment.connect_client()).fetch("book", body=b"slot")
         assert response.status == 502
         assert "retry-after" not in response.headers
         assert len(one.received) + len(two.received) == 1
@@ -104,12 +107,15 @@
 @async_test
 async def test_idle_connection_that_breaks_after_write_causes_no_resend() -> None:
     """Guards against the silent resend on a fresh connection that HTTP clients do."""
-    async with StubServer([reply("200 OK"), reset]) as endpoint, world(row("a", endpoint.address)) as w:
-        _keep_idle_connections(w.node)  # however slow the machine is between the two requests
-        client = await w.caller()
-        assert (await client.ask("book")).status == 200
-        assert (await client.ask("book")).status == 502
-        assert (len(endpoint.received), endpoint.opened) == (2, 1)
+    async with (
+        StubServer([reply("200 OK"), reset]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        _keep_idle_connections(environment.node)  # however slow the machine is between the two requests
+        client = await environment.connect_client()
+        assert (await client.fetch("book")).status == 200
+        assert (await client.fetch("book")).status == 502
+        assert (len(endpoint.received), endpoint.accepted_connections) == (2, 1)
 
 
 @pytest.mark.usefixtures("no_reuse_delay")
@@ -121,44 +127,44 @@
     async with (
         StubServer([reply("200 OK")]) as one,
         StubServer([reply("200 OK")]) as two,
-        world(row("a", one.address), row("b", two.address)) as w,
+        running_node(row("a", one.address), row("b", two.address)) as environment,
     ):
-        client = await w.caller()
+        client = await environment.connect_client()
         while not (one.received and two.received):
-            assert (await client.ask("look")).status == 200
+            assert (await client.fetch("look")).status == 200
         one.vanish()
         now = Clock.now
         monkeypatch.setattr(
             Clock, "now", lambda clock: now(clock) + 1000.0
         )  # it has not been heard of for so long
-        recorder = PolicyRecorder(w.node)
+        recorder = PolicyRecorder(environment.node)
         for _ in range(12):
-            assert (await client.ask("book", deadline="1.0")).status == 200
+            assert (await client.fetch("book", deadline="1.0")).status == 200
         assert any(outcome is Outcome.CONNECT_FAILED for outcome in recorder.outcomes)
-        assert {got.method for got in one.received} == {"GET"}
+        assert {received.method for received in one.received} == {"GET"}
 
 
 @async_test
 async def test_client_that_leaves_ends_its_attempt() -> None:
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        recorder = PolicyRecorder(w.node)
-        client = await w.caller()
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        recorder = PolicyRecorder(environment.node)
+        client = await environment.connect_client()
         client.writer.write(request("look"))
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         client.close()
         await until(lambda: any(isinstance(event, RequestAbandoned) for event in recorder.events))
         endpoint.release.set()
-        await asyncio.wait_for(endpoint.left.wait(), PATIENCE_S)
-        assert not w.node.requests and not w.node.requests.attempts_in_flight
+        await asyncio.wait_for(endpoint.disconnected.wait(), TIMEOUT_S)
+        assert not environment.node.requests and not environment.node.requests.attempts_in_flight
 
 
 @pytest.mark.parametrize(("kind", "status"), [("book", 502), ("look", 503)])
 @async_test
 async def test_response_comes_before_deadline_though_endpoint_is_silent(kind: str, status: int) -> None:
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        client = await environment.connect_client()
         begin = asyncio.get_running_loop().time()
-        response = await client.ask(kind, deadline="0.6")
+        response = await client.fetch(kind, deadline="0.6")
         assert asyncio.get_running_loop().time() - begin < 0.6 + 0.05, "later than the deadline allows"
         assert response.status == status
         assert len(endpoint.received) == 1
@@ -167,44 +173,50 @@
 
 @async_test
 async def test_late_bytes_of_abandoned_attempt_reach_no_other_request() -> None:
-    behaviours = [held(reply("200 OK", b"old")), reply("200 OK", b"new")]
-    async with StubServer(behaviours) as endpoint, world(row("a", endpoint.address)) as w:
-        client = await w.caller()
-        assert (await client.ask("book", deadline="0.3")).status == 502
+    behaviours = [when_released(reply("200 OK", b"old")), reply("200 OK", b"new")]
+    async with StubServer(behaviours) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        client = await environment.connect_client()
+        assert (await client.fetch("book", deadline="0.3")).status == 502
         endpoint.release.set()
-        assert (await client.ask("book")).body == b"new"
-        assert endpoint.opened == 2
+        assert (await client.fetch("book")).body == b"new"
+        assert endpoint.accepted_connections == 2
 
 
 @async_test
 async def test_node_responds_before_deadline_when_policy_does_not(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async with StubServer([silent]) as endpoint, world(row("a", endpoint.address)) as w:
-        replace_policy(w.node, ignore_events)
-        response = await (await w.caller()).ask("look", deadline="0.3")
+    async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+        replace_policy(environment.node, ignore_events)
+        response = await (await environment.connect_client()).fetch("look", deadline="0.3")
         assert response.status == 500
         assert "response_overdue" in caplog.text
 
 
 @async_test
 async def test_policy_fault_fails_one_request_alone() -> None:
-    async with StubServer([reply("200 OK", b"fine")]) as endpoint, world(row("a", endpoint.address)) as w:
+    async with (
+        StubServer([reply("200 OK", b"fine")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
 
         def fail_once(_: Event, __: float) -> list[Action]:
-            replace_policy(w.node, handle)
+            replace_policy(environment.node, handle)
             raise RuntimeError("planted")
 
-        handle = replace_policy(w.node, fail_once)
-        client = await w.caller()
-        assert (await client.ask("look")).status == 500
-        assert (await client.ask("look")).body == b"fine"
+        handle = replace_policy(environment.node, fail_once)
+        client = await environment.connect_client()
+        assert (await client.fetch("look")).status == 500
+        assert (await client.fetch("look")).body == b"fine"
 
 
 @async_test
 async def test_event_from_within_a_decision_waits_until_policy_has_returned() -> None:
     """The end of an attempt that comes while it is started must not reach the policy inside a decision."""
-    async with StubServer([reply("200 OK")]) as endpoint, world(row("a", endpoint.address)) as w:
+    async with (
+        StubServer([reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
         inside, seen = False, 0
 
         def watched(event: Event, now: float) -> list[Action]:
@@ -212,13 +224,13 @@
             assert not inside, "an event came while the policy was deciding"
             inside, seen = True, seen + 1
             if seen == 1:
-                w.node.handle_event(RequestAbandoned(99))
+                environment.node.handle_event(RequestAbandoned(99))
             actions = handle(event, now)
             inside = False
             return actions
 
-        handle = replace_policy(w.node, watched)
-        assert (await (await w.caller()).ask("look")).status == 200
+        handle = replace_policy(environment.node, watched)
+        assert (await (await environment.connect_client()).fetch("look")).status == 200
         assert seen >= 3, "the event that came in between was dropped"
 
 
@@ -226,6 +238,6 @@
 async def test_settings_of_stubs_are_read_completely() -> None:
     """Guards the tests here: a renamed key would silently become a default."""
     names = {c["name"] for c in settings()["profiles"]}
-    async with world(row("a", f"{HOST}:1")) as w:
-        assert {c.name for c in w.node.config.settings.classes} == names
-        assert w.node.config.settings.poll_endpoint_list
+    async with running_node(row("a", f"{HOST}:1")) as environment:
+        assert {c.name for c in environment.node.config.settings.classes} == names
+        assert environment.node.config.settings.poll_endpoint_list
--- a/tests/proxy/upstream/harness.py
+++ b/tests/proxy/upstream/harness.py
@@ -12,7 +12,7 @@
 from load_balancer.proxy.http.reader import HttpMessage
 from load_balancer.proxy.upstream.connection import UpstreamRequest
 from load_balancer.proxy.upstream.pools import UpstreamPools
-from tests.proxy.fakes import PATIENCE_S, listing, row
+from tests.proxy.fakes import TIMEOUT_S, listing, row
 
 REQUEST = b"GET /api/x HTTP/1.1\r\nHost: h\r\n\r\n"
 
@@ -42,7 +42,7 @@
         self.outcomes: list[Outcome] = []
 
     def start(
-        self, timeout_s: float = PATIENCE_S, endpoint_id: EndpointId = b"a"
+        self, timeout_s: float = TIMEOUT_S, endpoint_id: EndpointId = b"a"
     ) -> tuple[UpstreamRequest, asyncio.Future[OutcomeAndBody]]:
         """Start a request; the future gets its outcome and the body of its response."""
         future: asyncio.Future[OutcomeAndBody] = asyncio.get_running_loop().create_future()
@@ -53,7 +53,7 @@
 
         return self.pools.start_request(endpoint_id, render_request, timeout_s, on_outcome), future
 
-    async def send(self, timeout_s: float = PATIENCE_S, endpoint_id: EndpointId = b"a") -> OutcomeAndBody:
+    async def send(self, timeout_s: float = TIMEOUT_S, endpoint_id: EndpointId = b"a") -> OutcomeAndBody:
         """Send a request and wait for its outcome."""
         return await self.start(timeout_s, endpoint_id)[1]
 
--- a/tests/proxy/upstream/test_connection.py
+++ b/tests/proxy/upstream/test_connection.py
@@ -8,7 +8,7 @@
 
 from load_balancer.events import Outcome
 from tests.proxy.fakes import (
-    PATIENCE_S,
+    TIMEOUT_S,
     Behaviour,
     StubServer,
     async_test,
@@ -87,18 +87,18 @@
     async with StubServer([silent]) as endpoint, upstream(endpoint.address) as harness:
         assert await harness.send(timeout_s=0.1) == (Outcome.TIMEOUT, b"")
         endpoint.release.set()
-        await asyncio.wait_for(endpoint.left.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.disconnected.wait(), TIMEOUT_S)
 
 
 @async_test
 async def test_cancelled_request_reports_one_outcome() -> None:
     async with StubServer([silent]) as endpoint, upstream(endpoint.address) as harness:
         request, future = harness.start()
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         request.cancel(Outcome.CANCELLED)
         request.cancel(Outcome.TIMEOUT)
         endpoint.release.set()
-        await asyncio.wait_for(endpoint.left.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.disconnected.wait(), TIMEOUT_S)
         assert (await future)[0] is Outcome.CANCELLED
         assert harness.outcomes == [Outcome.CANCELLED]
 
@@ -109,7 +109,7 @@
     async with StubServer([closing]) as endpoint, upstream(endpoint.address) as harness:
         assert await harness.send() == (Outcome.OK, b"body")
         assert await harness.send() == (Outcome.OK, b"body")
-        assert endpoint.opened == 2
+        assert endpoint.accepted_connections == 2
 
 
 @async_test
@@ -118,7 +118,7 @@
     twice = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1" * 2)
     async with StubServer([twice, reply("200 OK", b"2")]) as endpoint, upstream(endpoint.address) as harness:
         assert await harness.send() == (Outcome.OK, b"1")
-        await asyncio.wait_for(endpoint.left.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.disconnected.wait(), TIMEOUT_S)
         assert await harness.send() == (Outcome.OK, b"2")
 
 
@@ -130,11 +130,11 @@
     async with StubServer([both, reply("200 OK", b"2")]) as endpoint, upstream(endpoint.address) as harness:
         later: list[asyncio.Future[OutcomeAndBody]] = []
         harness.pools.start_request(
-            b"a", render_request, PATIENCE_S, lambda outcome, response: later.append(harness.start()[1])
+            b"a", render_request, TIMEOUT_S, lambda outcome, response: later.append(harness.start()[1])
         )
         await until(lambda: later)
         assert await later[0] == (Outcome.OK, b"2")
-        assert endpoint.opened == 2
+        assert endpoint.accepted_connections == 2
 
 
 @async_test
@@ -144,9 +144,9 @@
         _, future = harness.start()
         for _ in pieces:
             assert not future.done()
-            endpoint.got.clear()
+            endpoint.request_received.clear()
             endpoint.release.set()
-            await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
+            await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         assert await future == (Outcome.OK, b"body")
         assert not harness.pools.pools[0].has_idle, "a connection that the endpoint closed is not reused"
 
--- a/tests/proxy/upstream/test_connection_opener.py
+++ b/tests/proxy/upstream/test_connection_opener.py
@@ -11,7 +11,7 @@
 
 from load_balancer.events import Outcome
 from load_balancer.proxy.upstream.connection_opener import MAX_RACED_CONNECTIONS
-from tests.proxy.fakes import PATIENCE_S, StubServer, async_test, held, reply, row, until
+from tests.proxy.fakes import TIMEOUT_S, StubServer, async_test, reply, row, until, when_released
 from tests.proxy.upstream.harness import upstream
 
 
@@ -72,7 +72,10 @@
 async def test_connection_that_comes_up_carries_the_request_that_waits_longest(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with StubServer([held(reply("200 OK"))]) as endpoint, upstream(endpoint.address) as harness:
+    async with (
+        StubServer([when_released(reply("200 OK"))]) as endpoint,
+        upstream(endpoint.address) as harness,
+    ):
         late = LateConnections(monkeypatch)
         first, _ = harness.start()
         second, _ = harness.start()
@@ -114,7 +117,7 @@
         harness.update(2, row("a", endpoint.address, started=5.0))
         late.gates[0].set()
         assert await future == (Outcome.NOT_SENT, b"")
-        await asyncio.wait_for(endpoint.left.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.disconnected.wait(), TIMEOUT_S)
         assert not endpoint.received and not harness.pools.pools[0].has_idle
 
 
--- a/tests/proxy/upstream/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -12,9 +12,9 @@
 from load_balancer.events import Outcome
 from load_balancer.proxy.upstream.endpoint_pool import REUSE_DELAY_S
 from tests.proxy.fakes import (
-    PATIENCE_S,
+    TIMEOUT_S,
     Behaviour,
-    Received,
+    ReceivedRequest,
     StubServer,
     async_test,
     reply,
@@ -37,13 +37,13 @@
         while connection.has_no_unread_input():
             time.sleep(0)  # the loop must not get to read it
         assert await harness.send() == (Outcome.OK, b"2")
-        assert endpoint.opened == 2
+        assert endpoint.accepted_connections == 2
 
 
 def _without_nodelay(*behaviours: Behaviour) -> Behaviour:
     """Behave so where the system holds back small writes until the last one is acknowledged."""
 
-    async def behave(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
+    async def behave(server: StubServer, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 0)
         for behaviour in behaviours:
             await behaviour(server, received, writer)
@@ -75,7 +75,7 @@
         upstream(endpoint.address, endpoint_idle_s=0.0) as harness,
     ):
         await harness.send()
-        await asyncio.wait_for(endpoint.left.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.disconnected.wait(), TIMEOUT_S)
 
 
 @pytest.mark.usefixtures("no_reuse_delay")
@@ -94,7 +94,9 @@
         await harness.send()
         await until(lambda: asyncio.get_running_loop().time() > pool.oldest_idle_since)
         await harness.send()
-        assert endpoint.opened == 3, "a connection was used that had been idle for longer than the timeout"
+        assert (
+            endpoint.accepted_connections == 3
+        ), "a connection was used that had been idle for longer than the timeout"
         pool.idle_timeout_s = configured / 2
         harness.pools.reap_idle()
         assert configured / 2 < pool.idle_timeout_s < configured, "the timeout recovers over time"
@@ -105,10 +107,10 @@
     async with StubServer([reply("200 OK"), silent]) as endpoint, upstream(endpoint.address) as harness:
         await harness.send()
         harness.pools.close_idle(b"a")
-        await asyncio.wait_for(endpoint.left.wait(), PATIENCE_S)
-        endpoint.got.clear()
+        await asyncio.wait_for(endpoint.disconnected.wait(), TIMEOUT_S)
+        endpoint.request_received.clear()
         request, future = harness.start()
-        await asyncio.wait_for(endpoint.got.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         harness.pools.close_idle(b"a")
         assert not future.done()
         request.cancel(Outcome.CANCELLED)
--- a/tests/proxy/upstream/test_pools.py
+++ b/tests/proxy/upstream/test_pools.py
@@ -11,7 +11,7 @@
 from load_balancer.events import Outcome
 from load_balancer.proxy.address import Address
 from load_balancer.proxy.upstream.pools import UpstreamPools
-from tests.proxy.fakes import HOST, PATIENCE_S, StubServer, async_test, reply, row, silent
+from tests.proxy.fakes import HOST, TIMEOUT_S, StubServer, async_test, reply, row, silent
 from tests.proxy.upstream.harness import endpoint_listing, upstream
 
 
@@ -60,7 +60,7 @@
         _, future = harness.start()
         harness.update(2, row("a", endpoint.address, "DRAINING"))
         assert await future == (Outcome.NOT_SENT, b"")
-        await asyncio.wait_for(endpoint.left.wait(), PATIENCE_S)
+        await asyncio.wait_for(endpoint.disconnected.wait(), TIMEOUT_S)
         assert not endpoint.received
 
 
@@ -75,7 +75,7 @@
         assert (await harness.send(endpoint_id=b"b"))[0] is Outcome.OK
         assert harness.update(3, row("a", endpoint.address), newer) == [b"a"]
         assert (await harness.send(endpoint_id=b"b"))[0] is Outcome.OK
-        assert endpoint.opened == 1
+        assert endpoint.accepted_connections == 1
 
 
 @async_test
@@ -133,7 +133,7 @@
         harness.update(2, row("a", one.address), row("b", two.address))
         await harness.send()
         request, future = harness.start(endpoint_id=b"b")
-        await asyncio.wait_for(two.got.wait(), PATIENCE_S)
+        await asyncio.wait_for(two.request_received.wait(), TIMEOUT_S)
         assert await harness.send() == (Outcome.CONNECT_FAILED, b"")
         assert not future.done()
         request.cancel(Outcome.CANCELLED)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -20,19 +20,19 @@
 from load_balancer.proxy.lifecycle import FIRST_LIST_WAIT_S
 from tests.proxy.fakes import (
     HOST,
-    PATIENCE_S,
-    Caller,
+    TIMEOUT_S,
+    Client,
     StubDiscovery,
     StubServer,
     async_test,
-    held,
     listing,
     reply,
     request,
     row,
+    send_line,
     settings,
-    tell,
     until,
+    when_released,
 )
 
 ROOT = Path(__file__).parent.parent
@@ -88,7 +88,7 @@
     """Start a node on a free port; gives it and its address once it listens."""
     process = await _start(_environment(config, discovery), descriptors)
     assert process.stderr is not None
-    line = (await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)).decode()
+    line = (await asyncio.wait_for(process.stderr.readline(), TIMEOUT_S)).decode()
     return process, _listening_address(line)
 
 
@@ -109,16 +109,16 @@
 
 
 async def _until_ready(address: tuple[str, int]) -> None:
-    client = await Caller.connect(address)
-    async with asyncio.timeout(PATIENCE_S):
-        while (await client.ask(target="/ready")).status != 200:
+    client = await Client.connect(address)
+    async with asyncio.timeout(TIMEOUT_S):
+        while (await client.fetch(target="/ready")).status != 200:
             await asyncio.sleep(0.05)
 
 
 async def _terminate(process: asyncio.subprocess.Process) -> bytes:
     """End a node with SIGTERM; gives the rest of its log."""
     process.send_signal(signal.SIGTERM)
-    _, log = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+    _, log = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
     assert process.returncode == 0, log.decode()
     return log
 
@@ -126,18 +126,18 @@
 @async_test
 async def test_process_serves_follows_sighup_and_exits_0_on_sigterm(tmp_path: Path) -> None:
     async with StubServer([reply("200 OK", b"served")]) as endpoint, StubDiscovery() as discovery:
-        known = listing(1, row("a", endpoint.address))
-        config, content = _write_configuration(tmp_path, sockets=1024, known=known)
+        cached_list = listing(1, row("a", endpoint.address))
+        config, content = _write_configuration(tmp_path, sockets=1024, known=cached_list)
         process, address = await _start_node(config, discovery)
-        client = await Caller.connect(address)
-        assert (await client.ask(target="/ready")).status == 200
-        assert (await client.ask("look")).body == b"served"
+        client = await Client.connect(address)
+        assert (await client.fetch(target="/ready")).status == 200
+        assert (await client.fetch("look")).body == b"served"
         async with StubDiscovery() as moved:
             await discovery.watch()
             config.write_text(json.dumps({**content, "discovery": moved.address}))
             process.send_signal(signal.SIGHUP)
             await moved.watch()
-            assert (await client.ask("look")).body == b"served"
+            assert (await client.fetch("look")).body == b"served"
         await _terminate(process)
 
 
@@ -145,15 +145,15 @@
 async def test_new_process_is_ready_with_little_cpu_time(tmp_path: Path) -> None:
     """Within 10 s with a fifth of a core: by the processor time that its start takes, and by its waits."""
     async with StubDiscovery(mute=True) as discovery:
-        known = listing(1, *(row(f"s{i}", f"{HOST}:{1 + i}") for i in range(1024)))
+        cached_list = listing(1, *(row(f"s{i}", f"{HOST}:{1 + i}") for i in range(1024)))
         pushed = settings(registryMode="pushed")
-        config, _ = _write_configuration(tmp_path, sockets=256, known=known, settings=pushed)
+        config, _ = _write_configuration(tmp_path, sockets=256, known=cached_list, settings=pushed)
         process, address = await _start_node(config, discovery)
         await _until_ready(address)
         fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
         used_s = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
         process.send_signal(signal.SIGTERM)
-        assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+        assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 0
         assert used_s / 0.2 + FIRST_LIST_WAIT_S < 10.0
 
 
@@ -173,7 +173,7 @@
     async def _push(self) -> None:
         while True:
             self.watches.append(await self._discovery.watches.get())
-            tell(self.watches[-1], self._list)
+            send_line(self.watches[-1], self._list)
 
     async def break_watch(self) -> None:
         """Reset the watch and wait until the node has opened another; that one is the last."""
@@ -183,11 +183,11 @@
         self._task.cancel()
 
 
-async def _send_burst(address: tuple[str, int], count: int) -> list[Caller]:
+async def _send_burst(address: tuple[str, int], count: int) -> list[Client]:
     """Open so many connections with a request on each."""
     clients = []
     for _ in range(count):
-        clients.append(await Caller.connect(address))
+        clients.append(await Client.connect(address))
         clients[-1].writer.write(request("look"))
     return clients
 
@@ -197,21 +197,21 @@
     address: tuple[str, int],
     endpoints: list[StubServer],
     sockets: int,
-    idle: list[Caller],
+    idle: list[Client],
 ) -> int:
     """Send bursts of requests while idle clients connect; gives the most descriptors that were in use."""
     used = 0
-    clients: list[Caller] = []
+    clients: list[Client] = []
     for _ in range(4):  # what is idle after one burst is still there in the next
         for endpoint in endpoints:
             endpoint.release.clear()
         clients = []  # those of the burst before leave first
         clients = await _send_burst(address, sockets // 3)
-        idle += [await Caller.connect(address) for _ in range(sockets // 2)]
+        idle += [await Client.connect(address) for _ in range(sockets // 2)]
         used = max(used, len(os.listdir(f"/proc/{process.pid}/fd")))
         for endpoint in endpoints:
             endpoint.release.set()
-        statuses = [(await client.answer()).status for client in clients]
+        statuses = [(await client.read_response()).status for client in clients]
         assert statuses.count(200) >= len(statuses) // 2 and set(statuses) <= {200, 503}
     return used
 
@@ -227,13 +227,13 @@
     connections to endpoints are idle.
     """
     async with contextlib.AsyncExitStack() as stack:
-        behaviours = [[held(reply("200 OK", b"x"))] for _ in range(12)]
+        behaviours = [[when_released(reply("200 OK", b"x"))] for _ in range(12)]
         endpoints = [await stack.enter_async_context(StubServer(behaviour)) for behaviour in behaviours]
         discovery = await stack.enter_async_context(StubDiscovery(mute=True))
         pushed = settings(registryMode="pushed")
         config, _ = _write_configuration(tmp_path, sockets=sockets, settings=pushed)
         process, address = await _start_node(config, discovery, descriptors=sockets)
-        idle = [await Caller.connect(address) for _ in range(2 * sockets)]
+        idle = [await Client.connect(address) for _ in range(2 * sockets)]
         discovery.mute = False
         pushing = _PushingDiscovery(discovery, endpoints)
         await _until_ready(address)
@@ -250,8 +250,10 @@
 async def test_signals_during_exit_do_not_change_exit_code(tmp_path: Path) -> None:
     """SIGHUP and SIGTERM come without pause from SIGTERM on, also while the loop closes."""
     async with StubServer([reply("200 OK")]) as endpoint, StubDiscovery() as discovery:
-        known = listing(1, row("a", endpoint.address))
-        config, _ = _write_configuration(tmp_path, sockets=256, known=known, discovery=discovery.address)
+        cached_list = listing(1, row("a", endpoint.address))
+        config, _ = _write_configuration(
+            tmp_path, sockets=256, known=cached_list, discovery=discovery.address
+        )
         process, _ = await _start_node(config, discovery)
         process.send_signal(signal.SIGTERM)
         while process.returncode is None:
@@ -281,8 +283,8 @@
         StubDiscovery() as old,
         StubDiscovery() as moved,
     ):
-        known = listing(1, row("a", endpoint.address))
-        parts = {"known": known, "settings": settings(registryMode="pushed")}
+        cached_list = listing(1, row("a", endpoint.address))
+        parts = {"known": cached_list, "settings": settings(registryMode="pushed")}
         config, content = _write_configuration(tmp_path, sockets=256, discovery=old.address, **parts)
         gate_environment = {"NODE_START_GATE": str(gate), "PYTHONPATH": str(tmp_path)}
         process = await _start({**_environment(config, old), **gate_environment})
@@ -309,20 +311,20 @@
     reading_end, writing_end = os.pipe()
     fcntl.fcntl(writing_end, fcntl.F_SETPIPE_SZ, 4096)
     async with StubServer([reply("200 OK", b"served")]) as endpoint, StubDiscovery() as discovery:
-        known = listing(1, row("a", endpoint.address))
-        config, content = _write_configuration(tmp_path, sockets=256, known=known)
+        cached_list = listing(1, row("a", endpoint.address))
+        config, content = _write_configuration(tmp_path, sockets=256, known=cached_list)
         process = await _start(_environment(config, discovery), stderr=writing_end)
         line = (await asyncio.to_thread(os.read, reading_end, 4096)).decode()
-        client = await Caller.connect(_listening_address(line))
-        assert (await client.ask("look")).body == b"served"
+        client = await Client.connect(_listening_address(line))
+        assert (await client.fetch("look")).body == b"served"
         _fill_pipe(writing_end)
         async with StubDiscovery() as moved:
             config.write_text(json.dumps({**content, "discovery": moved.address}))
             process.send_signal(signal.SIGHUP)  # which is logged
             await moved.watch()
-            assert (await client.ask("look")).body == b"served"
+            assert (await client.fetch("look")).body == b"served"
         process.send_signal(signal.SIGTERM)
-        assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+        assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 0
     os.close(reading_end)
     os.close(writing_end)
 
@@ -332,6 +334,6 @@
     config = tmp_path / "config.json"
     config.write_text("{}")
     process = await _start({"NODE_NAME": "n0", "NODE_CONFIG": str(config)})
-    _, error = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+    _, error = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
     assert process.returncode == 2
     assert error.decode() == "load_balancer: settings is missing or not of type dict: None\n"
