--- /dev/null
+++ b/tests/proxy/async_support.py
@@ -0,0 +1,47 @@
+"""Runs tests on the event loop of the node, and waits for conditions."""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+from collections.abc import Callable, Coroutine
+from typing import Any, ParamSpec, TypeVar
+
+import uvloop
+
+T = TypeVar("T")
+
+
+P = ParamSpec("P")
+
+
+HOST = "127.0.0.1"
+
+
+TIMEOUT_S = 20.0  # how long a test waits for what must come; reached only by a failing test
+
+
+def run(main: Coroutine[Any, Any, None]) -> None:
+    """Run a test on the loop that the node runs on."""
+
+    async def bounded() -> None:
+        await asyncio.wait_for(main, 3 * TIMEOUT_S)
+
+    uvloop.run(bounded())
+
+
+def async_test(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
+    """Make a coroutine function a test that runs on the loop that the node runs on."""
+
+    @functools.wraps(test)
+    def run_test(*args: P.args, **kwargs: P.kwargs) -> None:
+        run(test(*args, **kwargs))
+
+    return run_test
+
+
+async def until(condition: Callable[[], T]) -> T:
+    """Wait until the condition is truthy, and give its value."""
+    while not (value := condition()):
+        await asyncio.sleep(0)
+    return value
--- /dev/null
+++ b/tests/proxy/blocking_client.py
@@ -0,0 +1,56 @@
+"""Clients on blocking sockets, which act while the node's loop stands still."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+
+from load_balancer.proxy.downstream.connection import DownstreamConnection
+from tests.proxy.async_support import TIMEOUT_S, until
+from tests.proxy.node_environment import NodeEnvironment
+from tests.proxy.stub_client import request
+
+
+def open_requests(count: int) -> bytes:
+    """Requests that do not end by themselves while a test runs."""
+    return b"".join(request("book", deadline="600") for _ in range(count))
+
+
+def blocking_client(address: tuple[str, int]) -> socket.socket:
+    """A client with a request sent, which acts at once while the node's loop stands still."""
+    client = socket.create_connection(address, timeout=TIMEOUT_S)
+    client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    client.sendall(request("look"))
+    return client
+
+
+async def answered_client(environment: NodeEnvironment) -> tuple[socket.socket, DownstreamConnection]:
+    """A blocking client whose request has been answered, and the node's end of its connection."""
+    client = blocking_client(environment.address)
+    (connection,) = await until(lambda: [c for c in environment.node.downstream.connections if c.answered])
+    return client, connection
+
+
+async def read_to_end(client: socket.socket) -> bytes:
+    """Everything that the client receives until its connection ends."""
+    client.setblocking(False)
+    received = b""
+    loop = asyncio.get_running_loop()
+    with contextlib.suppress(ConnectionError):
+        while part := await asyncio.wait_for(loop.sock_recv(client, 4096), TIMEOUT_S):
+            received += part
+    return received
+
+
+async def connect_with_small_buffers(
+    client: socket.socket, environment: NodeEnvironment
+) -> DownstreamConnection:
+    """Connect so that a long response does not fit the buffers; gives the node's end of the connection."""
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+    client.setblocking(False)
+    await asyncio.get_running_loop().sock_connect(client, environment.address)
+    (connection,) = await until(lambda: list(environment.node.downstream.connections))
+    assert connection.client_socket is not None
+    connection.client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
+    return connection
--- /dev/null
+++ b/tests/proxy/delayed_connections.py
@@ -0,0 +1,46 @@
+"""Connections to endpoints that come up when a test says so."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterable
+from typing import Any
+
+import pytest
+
+from tests.proxy.stub_server import StubServer
+
+
+class DelayedConnections:
+    """Has connections to some endpoints come up only when released; all others are not delayed.
+
+    Attributes:
+        begun: a connection is being delayed.
+        release: all connections come up from now on.
+        opening: connections that have begun and have neither come up nor failed.
+    """
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoints: Iterable[StubServer]) -> None:
+        loop = asyncio.get_running_loop()
+        self.begun = asyncio.Event()
+        self.release = asyncio.Event()
+        self.opening = 0
+        self._delayed: set[str] = set()
+        self._create_connection = loop.create_connection
+        self.delay(endpoints)
+        monkeypatch.setattr(loop, "create_connection", self._delay_connection)
+
+    def delay(self, endpoints: Iterable[StubServer]) -> None:
+        """Delay connections to these endpoints, too."""
+        self._delayed.update(endpoint.address for endpoint in endpoints)
+
+    async def _delay_connection(self, factory: Any, host: str, port: int, **options: Any) -> Any:
+        if f"{host}:{port}" not in self._delayed:
+            return await self._create_connection(factory, host, port, **options)
+        self.begun.set()
+        self.opening += 1
+        try:
+            await self.release.wait()
+            return await self._create_connection(factory, host, port, **options)
+        finally:
+            self.opening -= 1
--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -12,19 +12,10 @@
 from load_balancer.proxy.discovery import endpoint_discovery
 from load_balancer.proxy.discovery import watch as discovery_watch
 from load_balancer.proxy.node import Node
-from tests.proxy.fakes import (
-    TIMEOUT_S,
-    NodeEnvironment,
-    StubDiscovery,
-    StubServer,
-    async_test,
-    listing,
-    reply,
-    row,
-    running_node,
-    send_line,
-    until,
-)
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.node_environment import NodeEnvironment, running_node
+from tests.proxy.stub_discovery import StubDiscovery, listing, row, send_line
+from tests.proxy.stub_server import StubServer, reply
 
 NOTIFIED_S = 6.0  # so long after a watch fell silent, what it missed counts as notified
 
--- a/tests/proxy/discovery/test_endpoint_listing.py
+++ b/tests/proxy/discovery/test_endpoint_listing.py
@@ -7,7 +7,7 @@
 import pytest
 
 from load_balancer.proxy.discovery.endpoint_listing import ListingError, ListingReader
-from tests.proxy.fakes import listing, row
+from tests.proxy.stub_discovery import listing, row
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/discovery/test_json_stream.py
+++ b/tests/proxy/discovery/test_json_stream.py
@@ -7,7 +7,7 @@
 import pytest
 
 from load_balancer.proxy.discovery.json_stream import MAX_OBJECT_BYTES, JsonObjectStream, MalformedStreamError
-from tests.proxy.fakes import listing, row
+from tests.proxy.stub_discovery import listing, row
 
 LIST = listing(42, row('br{ace"d', "127.0.0.1:1"), row("b\\n", "127.0.0.1:2", "DRAINING"))
 
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -9,17 +9,10 @@
 import pytest
 
 from load_balancer.proxy.discovery import watch as discovery_watch
-from tests.proxy.fakes import (
-    HOST,
-    StubServer,
-    async_test,
-    listing,
-    reply,
-    row,
-    running_node,
-    send_line,
-    until,
-)
+from tests.proxy.async_support import HOST, async_test, until
+from tests.proxy.node_environment import running_node
+from tests.proxy.stub_discovery import listing, row, send_line
+from tests.proxy.stub_server import StubServer, reply
 
 
 def _send_pieces(watch: asyncio.StreamWriter, *pieces: bytes) -> None:
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -12,25 +12,18 @@
     MAX_PIPELINED_REQUESTS,
     REQUEST_TIMEOUT_S,
 )
-from tests.proxy.fakes import (
-    TIMEOUT_S,
-    StubServer,
-    async_test,
-    reply,
-    request,
-    row,
-    running_node,
-    silent,
-    until,
-    when_released,
-)
-from tests.proxy.node_harness import (
-    PolicyRecorder,
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.blocking_client import (
     answered_client,
     connect_with_small_buffers,
     open_requests,
     read_to_end,
 )
+from tests.proxy.node_environment import running_node
+from tests.proxy.policy_recorder import PolicyRecorder
+from tests.proxy.stub_client import request
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply, silent, when_released
 
 
 @async_test
--- a/tests/proxy/downstream/test_request_parsing.py
+++ b/tests/proxy/downstream/test_request_parsing.py
@@ -4,14 +4,11 @@
 
 import pytest
 
-from tests.proxy.fakes import (
-    StubServer,
-    async_test,
-    reply,
-    request,
-    row,
-    running_node,
-)
+from tests.proxy.async_support import async_test
+from tests.proxy.node_environment import running_node
+from tests.proxy.stub_client import request
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/downstream/test_server.py
+++ b/tests/proxy/downstream/test_server.py
@@ -18,27 +18,13 @@
     DownstreamConnection,
 )
 from load_balancer.proxy.downstream.eviction import SCAN_LIMIT, EvictionPriority
-from tests.proxy.fakes import (
-    TIMEOUT_S,
-    Client,
-    StubServer,
-    async_test,
-    reply,
-    request,
-    row,
-    running_node,
-    silent,
-    until,
-    when_released,
-)
-from tests.proxy.node_harness import (
-    answered_client,
-    blocking_client,
-    ignore_events,
-    open_requests,
-    read_to_end,
-    replace_policy,
-)
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.blocking_client import answered_client, blocking_client, open_requests, read_to_end
+from tests.proxy.node_environment import running_node
+from tests.proxy.policy_recorder import ignore_events, replace_policy
+from tests.proxy.stub_client import Client, request
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply, silent, when_released
 
 
 def _reset(client: Client) -> None:
--- a/tests/proxy/event_loop/test_loop_iterations.py
+++ b/tests/proxy/event_loop/test_loop_iterations.py
@@ -9,20 +9,13 @@
 import pytest
 
 from load_balancer.proxy.node import BUDGET_RESERVE_MS
-from tests.proxy.fakes import (
-    TIMEOUT_S,
-    StubServer,
-    async_test,
-    reply,
-    request,
-    row,
-    running_node,
-    until,
-)
-from tests.proxy.node_harness import (
-    PolicyRecorder,
-    blocking_client,
-)
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.blocking_client import blocking_client
+from tests.proxy.node_environment import running_node
+from tests.proxy.policy_recorder import PolicyRecorder
+from tests.proxy.stub_client import request
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply
 
 
 class _StandingClock:
--- /dev/null
+++ b/tests/proxy/http_text.py
@@ -0,0 +1,13 @@
+"""Reads the heads of HTTP messages on the stubs' side."""
+
+from __future__ import annotations
+
+import asyncio
+
+
+async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
+    """Read a start line and its headers, with names in lower case."""
+    head = (await reader.readuntil(b"\r\n\r\n")).decode()
+    first, *lines = head.rstrip("\r\n").split("\r\n")
+    pairs = (line.split(":", 1) for line in lines)
+    return first, {name.lower(): value.strip() for name, value in pairs}
--- /dev/null
+++ b/tests/proxy/node_environment.py
@@ -0,0 +1,68 @@
+"""A node between stubs, started in the test's own process."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
+from typing import Any
+
+from load_balancer.proxy.address import Address, parse_address
+from load_balancer.proxy.configuration import Limits, NodeConfiguration, flatten_settings
+from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
+from load_balancer.proxy.discovery.endpoint_listing import ListingReader
+from load_balancer.proxy.node import Node
+from load_balancer.settings_format import read_settings
+from tests.proxy.async_support import HOST, TIMEOUT_S
+from tests.proxy.sample_settings import settings
+from tests.proxy.stub_client import Client
+from tests.proxy.stub_discovery import StubDiscovery, listing
+
+
+@dataclass
+class NodeEnvironment:
+    """A node, its discovery and the task that serves it."""
+
+    node: Node
+    address: tuple[str, int]
+    discovery: StubDiscovery
+    serving: asyncio.Task[None]
+
+    @property
+    def endpoint_discovery(self) -> EndpointDiscovery:
+        """The node's own side of discovery."""
+        return self.node.discovery
+
+    async def connect_client(self) -> Client:
+        """Open a client's connection to the node."""
+        return await Client.connect(self.address)
+
+
+@contextlib.asynccontextmanager
+async def running_node(
+    *rows: dict[str, Any], sockets: int = 256, has_cached_list: bool = True, path: str = "", **changes: Any
+) -> AsyncIterator[NodeEnvironment]:
+    """A node with these endpoints in its cached list; changes go into its settings."""
+    listing_reader = ListingReader(("hall",), ("std",))
+    async with StubDiscovery() as discovery:
+        config = NodeConfiguration(
+            path=path,
+            name="n0",
+            listen=Address(HOST, 0),
+            discovery=parse_address(discovery.address),
+            seed=7,
+            limits=Limits(192, sockets),
+            settings=read_settings(dict(flatten_settings(settings(**changes)))),
+            listing_reader=listing_reader,
+            cached_listing=listing_reader.read(listing(1, *rows)) if has_cached_list else None,
+            connection_idle_ms=30_000.0,
+        )
+        node = Node(config)
+        address = await node.start()
+        serving = asyncio.create_task(node.wait())
+        try:
+            yield NodeEnvironment(node, address, discovery, serving)
+        finally:
+            node.stop()
+            await asyncio.wait_for(serving, TIMEOUT_S)
--- a/tests/proxy/observability/test_rule_guard.py
+++ b/tests/proxy/observability/test_rule_guard.py
@@ -7,15 +7,10 @@
 from load_balancer.events import Endpoint, Outcome
 from load_balancer.proxy.observability.rule_guard import RequestGuard, Rule
 from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from tests.proxy.fakes import (
-    StubServer,
-    async_test,
-    reply,
-    reset,
-    row,
-    running_node,
-    until,
-)
+from tests.proxy.async_support import async_test, until
+from tests.proxy.node_environment import running_node
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply, reset
 
 NEAR = Endpoint(b"near", zone=0, cell=0)
 SAME_ZONE = Endpoint(b"same-zone", zone=0, cell=1)
--- /dev/null
+++ b/tests/proxy/policy_recorder.py
@@ -0,0 +1,91 @@
+"""Observes a node's policy, or takes its place."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from load_balancer.actions import Action, FailRequest, RejectRequest, SendAttempt
+from load_balancer.events import (
+    AttemptEnded,
+    EndpointId,
+    Event,
+    Outcome,
+    RequestAbandoned,
+    RequestArrived,
+    RequestId,
+)
+from load_balancer.proxy.node import Node
+
+Handle = Callable[[Event, float], list[Action]]
+"""What a policy does with one event."""
+
+
+def replace_policy(node: Node, handle: Handle) -> Handle:
+    """Have this function decide in place of the node's policy; gives what has decided until now."""
+    replaced = node.policy.handle
+    node.policy.handle = handle  # type: ignore[method-assign]
+    return replaced
+
+
+def ignore_events(_: Event, __: float) -> list[Action]:
+    """A policy that never decides anything."""
+    return []
+
+
+class PolicyRecorder:
+    """Records what a node tells its policy, and what of it is still open.
+
+    Attributes:
+        events: all events, in order.
+        open_requests: the requests that the policy was told of and that have not ended.
+        open_attempts: the attempts that the policy has started and was not told the end of.
+        on_attempt: called with each attempt's endpoint before the node starts it.
+    """
+
+    def __init__(self, node: Node) -> None:
+        self.events: list[Event] = []
+        self.open_requests: set[RequestId] = set()
+        self.open_attempts: set[tuple[RequestId, int]] = set()
+        self.on_attempt: Callable[[EndpointId], None] | None = None
+        self._attempt_counts: dict[RequestId, int] = {}
+        self._handle = replace_policy(node, self._record)
+
+    def _record(self, event: Event, now: float) -> list[Action]:
+        self.events.append(event)
+        if isinstance(event, RequestArrived):
+            self.open_requests.add(event.request_id)
+        elif isinstance(event, RequestAbandoned):
+            self.open_requests.discard(event.request_id)
+        elif isinstance(event, AttemptEnded):
+            self.open_attempts.remove((event.request_id, event.attempt_number))
+            if event.finished:
+                self.open_requests.discard(event.request_id)
+        actions = self._handle(event, now)
+        for action in actions:
+            self._record_action(action)
+        return actions
+
+    def _record_action(self, action: Action) -> None:
+        if isinstance(action, SendAttempt):
+            number = self._attempt_counts.get(action.request_id, 0)
+            self._attempt_counts[action.request_id] = number + 1
+            self.open_attempts.add((action.request_id, number))
+            if self.on_attempt is not None:
+                self.on_attempt(action.endpoint_id)
+        elif isinstance(action, RejectRequest | FailRequest):
+            self.open_requests.discard(action.request_id)
+
+    @property
+    def nothing_open(self) -> bool:
+        """Whether the policy was told the end of every request and of every attempt."""
+        return not self.open_requests and not self.open_attempts
+
+    @property
+    def outcomes(self) -> list[Outcome]:
+        """The outcomes of all attempts that have ended, in order."""
+        return [event.outcome for event in self.events if isinstance(event, AttemptEnded)]
+
+    @property
+    def budgets(self) -> list[float]:
+        """The time in milliseconds that the policy was given for each request."""
+        return [event.budget_ms for event in self.events if isinstance(event, RequestArrived)]
--- /dev/null
+++ b/tests/proxy/sample_settings.py
@@ -0,0 +1,52 @@
+"""The settings of a small deployment, as a node's configuration file holds them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from tests.proxy.async_support import TIMEOUT_S
+
+
+def settings(**changes: Any) -> dict[str, Any]:
+    """The settings of a small deployment, nested as in a node's configuration file."""
+    return {
+        "azs": ["hall"],
+        "balancers": 1,
+        "guarantees": {
+            "answerSlackMs": 20.0,
+            "coldMs": 8000.0,
+            "mustAskInMs": 200.0,
+            "stopSendingWithinMs": 250.0,
+        },
+        "layers": ["front"],
+        "models": ["std"],
+        "policyLimits": {
+            "cancel": True,
+            "connIdleMs": 30000.0,
+            "connectTimeoutMs": 150.0,
+            "maxRetryAfterMs": 2000.0,
+            "mayDuplicate": True,
+            "probes": True,
+            "retryAfter": True,
+            "tryLimit": 3,
+        },
+        "profiles": [
+            {"name": "look", "effect": "safe", "aimMs": 1000.0, "deadlineMs": 4000.0},
+            {"name": "move", "effect": "keyed", "aimMs": 1000.0, "deadlineMs": 4000.0, "windowMs": 5000.0},
+            {"name": "book", "effect": "unsafe", "aimMs": 1000.0, "deadlineMs": 4000.0},
+        ],
+        "registryMode": "on_request",
+        "tenants": [{"name": "acme", "fraction": 1.0, "quotaPerS": 1000.0}],
+        "tickMs": 5.0,
+        "weights": "nominal",
+        **changes,
+    }
+
+
+def policy_limits(**changes: Any) -> dict[str, Any]:
+    """The policy's limits with these changes, as a part of the settings."""
+    return {"policyLimits": {**settings()["policyLimits"], **changes}}
+
+
+# Connections that a test delays are waited for as long as it takes.
+LONG_CONNECT_TIMEOUT = policy_limits(connectTimeoutMs=1000.0 * TIMEOUT_S)
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -11,29 +11,17 @@
 from load_balancer.events import Event, Outcome, RequestArrived, TimerFired
 from load_balancer.proxy.downstream import server as downstream_server
 from load_balancer.proxy.node import Node
-from tests.proxy.fakes import (
-    HOST,
-    TIMEOUT_S,
-    StubServer,
-    async_test,
-    read_head,
-    reply,
-    request,
-    row,
-    running_node,
-    silent,
-    until,
-    when_released,
-)
-from tests.proxy.node_harness import (
-    LONG_CONNECT_TIMEOUT,
-    DelayedConnections,
-    PolicyRecorder,
-    blocking_client,
-    nothing_left,
-    policy_limits,
-    replace_policy,
-)
+from tests.proxy.async_support import HOST, TIMEOUT_S, async_test, until
+from tests.proxy.blocking_client import blocking_client
+from tests.proxy.delayed_connections import DelayedConnections
+from tests.proxy.http_text import read_head
+from tests.proxy.node_environment import running_node
+from tests.proxy.policy_recorder import PolicyRecorder, replace_policy
+from tests.proxy.request_state import nothing_left
+from tests.proxy.sample_settings import LONG_CONNECT_TIMEOUT, policy_limits
+from tests.proxy.stub_client import request
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply, silent, when_released
 
 
 @pytest.mark.parametrize("cancel", [True, False])
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -12,7 +12,8 @@
 from load_balancer.events import EndpointListKind, EndpointState
 from load_balancer.proxy.configuration import ConfigurationError, load_configuration
 from load_balancer.settings import Idempotency
-from tests.proxy.fakes import listing, row, settings
+from tests.proxy.sample_settings import settings
+from tests.proxy.stub_discovery import listing, row
 
 
 def _configuration(**changes: Any) -> dict[str, Any]:
--- a/tests/proxy/test_endpoint_faults.py
+++ b/tests/proxy/test_endpoint_faults.py
@@ -12,23 +12,11 @@
 
 import pytest
 
-from tests.proxy.fakes import (
-    HOST,
-    Behaviour,
-    NodeEnvironment,
-    ReceivedRequest,
-    StubServer,
-    async_test,
-    reply,
-    reset_connection,
-    row,
-    running_node,
-    silent,
-    until,
-)
-from tests.proxy.node_harness import (
-    policy_limits,
-)
+from tests.proxy.async_support import HOST, async_test, until
+from tests.proxy.node_environment import NodeEnvironment, running_node
+from tests.proxy.sample_settings import policy_limits
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import Behaviour, ReceivedRequest, StubServer, reply, reset_connection, silent
 
 DEADLINE_S = 0.6
 LOST_S = 0.5  # later than this after its deadline a response counts as none
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -6,20 +6,11 @@
 
 import pytest
 
-from tests.proxy.fakes import (
-    TIMEOUT_S,
-    StubServer,
-    async_test,
-    listing,
-    reply,
-    row,
-    running_node,
-    send_line,
-    until,
-)
-from tests.proxy.node_harness import (
-    PolicyRecorder,
-)
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.node_environment import running_node
+from tests.proxy.policy_recorder import PolicyRecorder
+from tests.proxy.stub_discovery import listing, row, send_line
+from tests.proxy.stub_server import StubServer, reply
 
 
 @async_test
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -18,29 +18,14 @@
 from load_balancer.proxy import lifecycle
 from load_balancer.proxy.configuration import load_configuration
 from load_balancer.proxy.node import Node
-from tests.proxy.fakes import (
-    HOST,
-    TIMEOUT_S,
-    StubDiscovery,
-    StubServer,
-    async_test,
-    listing,
-    reply,
-    request,
-    row,
-    running_node,
-    send_line,
-    settings,
-    silent,
-    until,
-    when_released,
-)
-from tests.proxy.node_harness import (
-    PolicyRecorder,
-    blocking_client,
-    open_requests,
-    read_to_end,
-)
+from tests.proxy.async_support import HOST, TIMEOUT_S, async_test, until
+from tests.proxy.blocking_client import blocking_client, open_requests, read_to_end
+from tests.proxy.node_environment import running_node
+from tests.proxy.policy_recorder import PolicyRecorder
+from tests.proxy.sample_settings import settings
+from tests.proxy.stub_client import request
+from tests.proxy.stub_discovery import StubDiscovery, listing, row, send_line
+from tests.proxy.stub_server import StubServer, reply, silent, when_released
 
 
 def _classes(*deadlines_ms: float) -> list[dict[str, Any]]:
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -14,27 +14,13 @@
 )
 from load_balancer.proxy.event_loop.clock import Clock
 from load_balancer.proxy.node import Node
-from tests.proxy.fakes import (
-    HOST,
-    TIMEOUT_S,
-    StubServer,
-    async_test,
-    raw,
-    reply,
-    request,
-    reset,
-    row,
-    running_node,
-    settings,
-    silent,
-    until,
-    when_released,
-)
-from tests.proxy.node_harness import (
-    PolicyRecorder,
-    ignore_events,
-    replace_policy,
-)
+from tests.proxy.async_support import HOST, TIMEOUT_S, async_test, until
+from tests.proxy.node_environment import running_node
+from tests.proxy.policy_recorder import PolicyRecorder, ignore_events, replace_policy
+from tests.proxy.sample_settings import settings
+from tests.proxy.stub_client import request
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, raw, reply, reset, silent, when_released
 
 BODY = bytes(range(256)) * 4
 
--- a/tests/proxy/test_request_table.py
+++ b/tests/proxy/test_request_table.py
@@ -4,16 +4,11 @@
 
 import asyncio
 
-from tests.proxy.fakes import (
-    TIMEOUT_S,
-    StubServer,
-    async_test,
-    reply,
-    request,
-    row,
-    running_node,
-    when_released,
-)
+from tests.proxy.async_support import TIMEOUT_S, async_test
+from tests.proxy.node_environment import running_node
+from tests.proxy.stub_client import request
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply, when_released
 
 
 @async_test
--- a/tests/proxy/upstream/harness.py
+++ b/tests/proxy/upstream/harness.py
@@ -12,7 +12,8 @@
 from load_balancer.proxy.http.reader import HttpMessage
 from load_balancer.proxy.upstream.connection import UpstreamRequest
 from load_balancer.proxy.upstream.pools import UpstreamPools
-from tests.proxy.fakes import TIMEOUT_S, listing, row
+from tests.proxy.async_support import TIMEOUT_S
+from tests.proxy.stub_discovery import listing, row
 
 REQUEST = b"GET /api/x HTTP/1.1\r\nHost: h\r\n\r\n"
 
--- a/tests/proxy/upstream/test_connection.py
+++ b/tests/proxy/upstream/test_connection.py
@@ -7,19 +7,8 @@
 import pytest
 
 from load_balancer.events import Outcome
-from tests.proxy.fakes import (
-    TIMEOUT_S,
-    Behaviour,
-    StubServer,
-    async_test,
-    in_pieces,
-    raw,
-    reply,
-    reset,
-    silent,
-    then_reset,
-    until,
-)
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.stub_server import Behaviour, StubServer, in_pieces, raw, reply, reset, silent, then_reset
 from tests.proxy.upstream.harness import OutcomeAndBody, render_request, upstream
 
 NOT_RUN = "X-Not-Run: 1\r\n"
--- a/tests/proxy/upstream/test_connection_opener.py
+++ b/tests/proxy/upstream/test_connection_opener.py
@@ -11,7 +11,9 @@
 
 from load_balancer.events import Outcome
 from load_balancer.proxy.upstream.connection_opener import MAX_RACED_CONNECTIONS
-from tests.proxy.fakes import TIMEOUT_S, StubServer, async_test, reply, row, until, when_released
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply, when_released
 from tests.proxy.upstream.harness import upstream
 
 
--- a/tests/proxy/upstream/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -11,16 +11,8 @@
 
 from load_balancer.events import Outcome
 from load_balancer.proxy.upstream.endpoint_pool import REUSE_DELAY_S
-from tests.proxy.fakes import (
-    TIMEOUT_S,
-    Behaviour,
-    ReceivedRequest,
-    StubServer,
-    async_test,
-    reply,
-    silent,
-    until,
-)
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.stub_server import Behaviour, ReceivedRequest, StubServer, reply, silent
 from tests.proxy.upstream.harness import upstream
 
 
--- a/tests/proxy/upstream/test_pools.py
+++ b/tests/proxy/upstream/test_pools.py
@@ -11,7 +11,9 @@
 from load_balancer.events import Outcome
 from load_balancer.proxy.address import Address
 from load_balancer.proxy.upstream.pools import UpstreamPools
-from tests.proxy.fakes import HOST, TIMEOUT_S, StubServer, async_test, reply, row, silent
+from tests.proxy.async_support import HOST, TIMEOUT_S, async_test
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply, silent
 from tests.proxy.upstream.harness import endpoint_listing, upstream
 
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -18,22 +18,11 @@
 import pytest
 
 from load_balancer.proxy.lifecycle import FIRST_LIST_WAIT_S
-from tests.proxy.fakes import (
-    HOST,
-    TIMEOUT_S,
-    Client,
-    StubDiscovery,
-    StubServer,
-    async_test,
-    listing,
-    reply,
-    request,
-    row,
-    send_line,
-    settings,
-    until,
-    when_released,
-)
+from tests.proxy.async_support import HOST, TIMEOUT_S, async_test, until
+from tests.proxy.sample_settings import settings
+from tests.proxy.stub_client import Client, request
+from tests.proxy.stub_discovery import StubDiscovery, listing, row, send_line
+from tests.proxy.stub_server import StubServer, reply, when_released
 
 ROOT = Path(__file__).parent.parent
 
