--- /dev/null
+++ b/tools/__init__.py
@@ -0,0 +1,1 @@
+"""Commands for developers: recorded streams and measurements."""
--- a/tests/compare_stream.py
+++ b/tools/compare_stream.py
@@ -1,6 +1,6 @@
 """Plays streams recorded by the simulator's tap through the adapter and compares the replies byte for byte.
 
-    python tests/compare_stream.py FILE...    from the root of the repository
+    python tools/compare_stream.py FILE...    from the root of the repository
 
 A tap holds a line of text (direction, process, size) before each line of hexadecimal bytes.  The texts of log
 actions may differ; every other byte of every reply has to be the same.  Prints the processor time of the
--- a/tests/measure_decision_cost.py
+++ b/tools/measure_decision_cost.py
@@ -1,6 +1,6 @@
 """Measures the processor time of one request in the policy at several numbers of endpoints.
 
-    python -m tests.measure_decision_cost    from the root of the repository
+    python -m tools.measure_decision_cost    from the root of the repository
 
 A request is its arrival, the draw of its endpoint and the outcome of its one attempt.  The time is that of
 this process, without any I/O; each figure is the least of several passes.
--- a/tests/replay_stream.py
+++ b/tools/replay_stream.py
@@ -1,7 +1,7 @@
 """Plays the recorded batches of tests/data/stream.bin through the command that deploy/balancer.toml names.
 
-    python tests/replay_stream.py             play them, from the root of the repository
-    python tests/replay_stream.py --record    write the recording anew (its events depend on no decision)
+    python tools/replay_stream.py             play them, from the root of the repository
+    python tools/replay_stream.py --record    write the recording anew (its events depend on no decision)
 
 Instance 1 has one idle endpoint, so each of its requests has to be forwarded there at once.  Instance 2 has
 several endpoints that are added, drained and restarted, gets no outcomes and is killed in between.  The
