--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -63,7 +63,7 @@
         frozenset({Rule.CLIENT_GONE}),
         (
             Edit(SERVER, "request is None or request.slot.client_has_left()", "request is None"),
-            Edit(SERVER, "return not slot.client_has_left()", "return True"),
+            Edit(SERVER, "return not self._request.slot.client_has_left()", "return True"),
             Edit(SERVER, "slot.on_abandoned = lambda: self._abandon(request_id)", "pass"),
         ),
         frozenset(
@@ -169,8 +169,8 @@
         (
             Edit(
                 SERVER,
-                'X-Deadline: %.3f\\r\\n\\r\\n%s" % (head, remaining_s, body)',
-                'X-Deadline: %.3f\\r\\n\\r\\n%s" % (head, remaining_s + 0.4, body)',
+                'X-Deadline: %.3f\\r\\n\\r\\n%s" % (request.head, seconds_left, request.message.body)',
+                'X-Deadline: %.3f\\r\\n\\r\\n%s" % (request.head, seconds_left + 0.4, request.message.body)',
             ),
         ),
     ),
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -58,6 +58,7 @@
 from load_balancer.proxy.request_table import Attempt, PendingRequest, RequestTable
 from load_balancer.proxy.upstream.health_checks import HealthChecker
 from load_balancer.proxy.upstream.pools import UpstreamPools
+from load_balancer.proxy.upstream.request import OutboundRequest
 
 log = logging.getLogger(__name__)
 
@@ -77,6 +78,34 @@
         """The actions that follow from one event; now is in milliseconds on the node's clock."""
 
 
+class _OutboundAttempt(OutboundRequest):
+    """One attempt of a client's request, as it is sent to an endpoint."""
+
+    __slots__ = ("_attempt", "_node", "_request")
+
+    def __init__(self, node: Node, attempt: Attempt, request: PendingRequest) -> None:
+        self._node = node
+        self._attempt = attempt
+        self._request = request
+
+    def render(self, seconds_left: float) -> bytes:
+        """The client's request with the time that the endpoint has left for it."""
+        request = self._request
+        return b"%sX-Deadline: %.3f\r\n\r\n%s" % (request.head, seconds_left, request.message.body)
+
+    def is_wanted(self) -> bool:
+        """Whether the client is still connected."""
+        return not self._request.slot.client_has_left()
+
+    def may_write(self) -> bool:
+        """Whether the last check allows the attempt."""
+        return self._node.may_write(self._attempt, self._request)
+
+    def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
+        """Hand the outcome to the node."""
+        self._node.on_attempt_ended(self._attempt, self._request, outcome, response)
+
+
 class Node:
     """One real node."""
 
@@ -412,30 +441,13 @@
         self._report_not_sent(attempt, finished=True)
 
     def _start_attempt(self, attempt: Attempt, request: PendingRequest, timeout_ms: float) -> None:
-        head, body, client_id, slot = request.head, request.message.body, request.client_id, request.slot
-
-        def render(remaining_s: float) -> bytes:
-            return b"%sX-Deadline: %.3f\r\n\r\n%s" % (head, remaining_s, body)
-
-        def on_end(outcome: Outcome, response: HttpMessage | None) -> None:
-            self._counters.outcomes[outcome] += 1
-            request.guard.record_outcome(attempt.number, outcome)
-            self._requests.release(client_id)
-            self._on_attempt_ended(attempt, outcome, response)
-
-        def is_wanted() -> bool:
-            return not slot.client_has_left()
-
-        def may_write() -> bool:
-            return self._may_write(attempt, request)
-
-        self._requests.reserve(client_id)
+        self._requests.reserve(request.client_id)
         upstream_request = self._pools.start_request(
-            attempt.endpoint_id, render, timeout_ms / 1000.0, on_end, is_wanted, may_write
+            attempt.endpoint_id, _OutboundAttempt(self, attempt, request), timeout_ms / 1000.0
         )
         self._requests.add_attempt(attempt, upstream_request)
 
-    def _may_write(self, attempt: Attempt, request: PendingRequest) -> bool:
+    def may_write(self, attempt: Attempt, request: PendingRequest) -> bool:
         """The last check before an attempt is written; what it forbids should not have been decided."""
         now_ms = self._clock.now()
         endpoint = self._pools.serving_endpoint(attempt.endpoint_id)
@@ -461,7 +473,13 @@
             )
         )
 
-    def _on_attempt_ended(self, attempt: Attempt, outcome: Outcome, response: HttpMessage | None) -> None:
+    def on_attempt_ended(
+        self, attempt: Attempt, request: PendingRequest, outcome: Outcome, response: HttpMessage | None
+    ) -> None:
+        """Send the response if this is the first one, and hand the outcome to the policy."""
+        self._counters.outcomes[outcome] += 1
+        request.guard.record_outcome(attempt.number, outcome)
+        self._requests.release(request.client_id)
         request_id = attempt.request_id
         self._requests.remove_attempt(attempt)
         served: PendingRequest | None = None
--- a/load_balancer/proxy/upstream/connection.py
+++ b/load_balancer/proxy/upstream/connection.py
@@ -1,8 +1,4 @@
-"""One connection to an endpoint, and the request that it carries.
-
-Nothing is ever sent twice here.  Whatever ends after the request was handed to the socket may have run; only
-what ended before that is reported as ``Outcome.CONNECT_FAILED`` or ``Outcome.NOT_SENT``.
-"""
+"""One connection to an endpoint, which carries one request at a time."""
 
 from __future__ import annotations
 
@@ -17,127 +13,10 @@
 from load_balancer.proxy.event_loop.socket_poll import poll_socket
 from load_balancer.proxy.http.headers import NOT_RUN
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError, HttpReader
+from load_balancer.proxy.upstream.request import UpstreamRequest
 
 log = logging.getLogger(__name__)
 
-# An attempt with less time left is not written: its server could not answer in it, and the time is told in
-# milliseconds.  The loop's clock has that resolution, too.
-MIN_TIME_LEFT_S = 0.002
-
-
-class OutcomeHandler(Protocol):
-    """Called once with a request's outcome, and with the response where a complete one came."""
-
-    def __call__(self, outcome: Outcome, response: HttpMessage | None, /) -> None:
-        """Take in the outcome and the response."""
-        ...
-
-
-class RequestRenderer(Protocol):
-    """Gives a request's bytes for an attempt that has this many seconds left."""
-
-    def __call__(self, seconds_left: float, /) -> bytes:
-        """Render the request."""
-        ...
-
-
-class StillWanted(Protocol):
-    """Tells whether somebody still waits for the response, at the moment in which the request would begin."""
-
-    def __call__(self) -> bool:
-        """Whether the request is still to be sent."""
-        ...
-
-
-class MayWrite(Protocol):
-    """The last check, called right before the request is written, and not again once it has allowed that."""
-
-    def __call__(self) -> bool:
-        """Whether the request may be written; whoever answers yes takes it as written."""
-        ...
-
-
-def always() -> bool:
-    """No condition."""
-    return True
-
-
-class UpstreamRequest:
-    """One request to an endpoint: an attempt or a health check.  It ends once, with one outcome.
-
-    Attributes:
-        render: gives the bytes to send.
-        still_wanted: whether the request is still to be sent when its connection comes up.
-        may_write: the last check before it is written.
-        deadline: when it times out, in the loop's time.
-        connection: the connection that carries it, until it ends.
-        held_up_locally: whether the node's own machine has failed to connect for it.
-        written: whether its bytes were handed to a socket, so that it may have run.
-        ended: whether the outcome has been reported.
-    """
-
-    __slots__ = (
-        "_deadline_timer",
-        "_on_outcome",
-        "connection",
-        "deadline",
-        "ended",
-        "held_up_locally",
-        "may_write",
-        "render",
-        "still_wanted",
-        "written",
-    )
-
-    def __init__(
-        self,
-        render: RequestRenderer,
-        timeout_s: float,
-        on_outcome: OutcomeHandler,
-        still_wanted: StillWanted = always,
-        may_write: MayWrite = always,
-    ) -> None:
-        loop = asyncio.get_running_loop()
-        self.render = render
-        self.still_wanted = still_wanted
-        self.may_write = may_write
-        self.deadline = loop.time() + timeout_s
-        self.connection: UpstreamConnection | None = None
-        self.held_up_locally = False
-        self.written = False
-        self.ended = False
-        self._on_outcome = on_outcome
-        self._deadline_timer = loop.call_later(timeout_s, self._time_out)
-
-    def has_time_left(self) -> bool:
-        """Whether it can still be written and answered before its deadline."""
-        return self.deadline - asyncio.get_running_loop().time() >= MIN_TIME_LEFT_S
-
-    def end(self, outcome: Outcome, response: HttpMessage | None = None) -> None:
-        """Report the outcome; does nothing where one was reported before."""
-        if self.ended:
-            return
-        self.ended = True
-        self._deadline_timer.cancel()
-        self.connection = None
-        self._on_outcome(outcome, response)
-
-    def cancel(self, outcome: Outcome) -> None:
-        """End without waiting for the response.
-
-        The connection is closed as well, so that a late response cannot reach another request.
-        """
-        connection = self.connection
-        if not self.ended and connection is not None:
-            connection.abort()
-        self.end(outcome)
-
-    def _time_out(self) -> None:
-        if self.written:
-            self.cancel(Outcome.TIMEOUT)
-        else:
-            self.cancel(Outcome.NOT_SENT if self.held_up_locally else Outcome.CONNECT_FAILED)
-
 
 class ConnectionOwner(Protocol):
     """Keeps account of connections and decides which of them are kept between requests."""
@@ -199,7 +78,7 @@
         self._request = request
         request.connection = self
         request.written = True
-        self._transport.write(request.render(request.deadline - self._loop.time()))
+        self._transport.write(request.outbound.render(request.deadline - self._loop.time()))
 
     def abort(self) -> None:
         """Close at once; input that still comes is not read, and no outcome is reported."""
--- a/load_balancer/proxy/upstream/connection_opener.py
+++ b/load_balancer/proxy/upstream/connection_opener.py
@@ -13,8 +13,9 @@
 from dataclasses import dataclass
 
 from load_balancer.events import Outcome
-from load_balancer.proxy.upstream.connection import UpstreamConnection, UpstreamRequest
+from load_balancer.proxy.upstream.connection import UpstreamConnection
 from load_balancer.proxy.upstream.endpoint_pool import EndpointPool
+from load_balancer.proxy.upstream.request import UpstreamRequest
 
 # Of the connect timeout: a connection that takes longer is late, and another is raced against it.
 RACE_DELAY_FRACTION = 1 / 6
@@ -119,7 +120,7 @@
     def _race(self, pool: EndpointPool, waiting: _WaitingRequest) -> None:
         """The connection is late."""
         request = waiting.request
-        if not (request.ended or pool.retired) and request.still_wanted() and self._make_capacity():
+        if not (request.ended or pool.retired) and request.outbound.is_wanted() and self._make_capacity():
             self._start_connection(pool, waiting)
 
     async def _connect(self, pool: EndpointPool, request: UpstreamRequest) -> None:
@@ -155,7 +156,7 @@
 
     def _connect_again(self, pool: EndpointPool, waiting: _WaitingRequest) -> None:
         request = waiting.request
-        if request.ended or pool.retired or not request.still_wanted():
+        if request.ended or pool.retired or not request.outbound.is_wanted():
             self._stop_waiting(pool, waiting)
             request.end(Outcome.NOT_SENT)
             return
@@ -195,8 +196,8 @@
         if request.ended:
             return False
         # Drained, gone or restarted: what was decided for that process must not reach the next one.
-        wanted = not pool.retired and request.has_time_left() and request.still_wanted()
-        if not wanted or not request.may_write():
+        wanted = not pool.retired and request.has_time_left() and request.outbound.is_wanted()
+        if not wanted or not request.outbound.may_write():
             request.end(Outcome.NOT_SENT)
             return False
         connection.send(request)
--- a/load_balancer/proxy/upstream/pools.py
+++ b/load_balancer/proxy/upstream/pools.py
@@ -8,18 +8,10 @@
 from load_balancer.events import Endpoint, EndpointId, EndpointState, Outcome
 from load_balancer.proxy.address import Address
 from load_balancer.proxy.discovery.endpoint_listing import EndpointListing
-from load_balancer.proxy.upstream.connection import (
-    MIN_TIME_LEFT_S,
-    MayWrite,
-    OutcomeHandler,
-    RequestRenderer,
-    StillWanted,
-    UpstreamConnection,
-    UpstreamRequest,
-    always,
-)
+from load_balancer.proxy.upstream.connection import UpstreamConnection
 from load_balancer.proxy.upstream.connection_opener import ConnectionOpener
 from load_balancer.proxy.upstream.endpoint_pool import IDLE_TIMEOUT_FRACTION, EndpointPool
+from load_balancer.proxy.upstream.request import MIN_TIME_LEFT_S, OutboundRequest, UpstreamRequest
 
 log = logging.getLogger(__name__)
 
@@ -129,17 +121,12 @@
     def start_request(
         self,
         endpoint_id: EndpointId,
-        render: RequestRenderer,
+        outbound: OutboundRequest,
         timeout_s: float,
-        on_outcome: OutcomeHandler,
-        still_wanted: StillWanted = always,
-        may_write: MayWrite = always,
     ) -> UpstreamRequest:
         """Start a request; its outcome is reported once, and not before this returns."""
         has_time = timeout_s >= MIN_TIME_LEFT_S
-        request = UpstreamRequest(
-            render, max(timeout_s, MIN_TIME_LEFT_S), on_outcome, still_wanted, may_write
-        )
+        request = UpstreamRequest(outbound, max(timeout_s, MIN_TIME_LEFT_S))
         pool = self._pools.get(endpoint_id)
         if pool is None:
             self._loop.call_soon(request.end, Outcome.CONNECT_FAILED)
@@ -160,7 +147,7 @@
     def _send_on_idle(
         self, pool: EndpointPool, connection: UpstreamConnection, request: UpstreamRequest
     ) -> None:
-        if request.may_write():
+        if request.outbound.may_write():
             connection.send(request)
             return
         pool.connection_released(connection)
--- a/tests/proxy/upstream/harness.py
+++ b/tests/proxy/upstream/harness.py
@@ -4,14 +4,14 @@
 
 import asyncio
 import contextlib
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from typing import Any
 
 from load_balancer.events import EndpointId, Outcome
 from load_balancer.proxy.discovery.endpoint_listing import EndpointListing, ListingReader
 from load_balancer.proxy.http.reader import HttpMessage
-from load_balancer.proxy.upstream.connection import UpstreamRequest
 from load_balancer.proxy.upstream.pools import UpstreamPools
+from load_balancer.proxy.upstream.request import OutboundRequest, UpstreamRequest
 from tests.proxy.async_support import TIMEOUT_S
 from tests.proxy.stub_discovery import listing, row
 
@@ -25,9 +25,19 @@
     return ListingReader((), ()).read(listing(version, *rows, reset=reset))
 
 
-def render_request(_: float) -> bytes:
-    """The request that every attempt sends."""
-    return REQUEST
+class SampleRequest(OutboundRequest):
+    """A request whose outcome is handed to a function."""
+
+    def __init__(self, on_outcome: Callable[[Outcome, HttpMessage | None], None]) -> None:
+        self._on_outcome = on_outcome
+
+    def render(self, seconds_left: float) -> bytes:
+        """The same bytes for each request."""
+        return REQUEST
+
+    def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
+        """Hand over the outcome."""
+        self._on_outcome(outcome, response)
 
 
 class UpstreamHarness:
@@ -52,7 +62,7 @@
             self.outcomes.append(outcome)
             future.set_result((outcome, response.body if response is not None else b""))
 
-        return self.pools.start_request(endpoint_id, render_request, timeout_s, on_outcome), future
+        return self.pools.start_request(endpoint_id, SampleRequest(on_outcome), timeout_s), future
 
     async def send(self, timeout_s: float = TIMEOUT_S, endpoint_id: EndpointId = b"a") -> OutcomeAndBody:
         """Send a request and wait for its outcome."""
--- a/tests/proxy/upstream/test_connection.py
+++ b/tests/proxy/upstream/test_connection.py
@@ -9,7 +9,7 @@
 from load_balancer.events import Outcome
 from tests.proxy.async_support import TIMEOUT_S, async_test, until
 from tests.proxy.stub_server import Behaviour, StubServer, in_pieces, raw, reply, reset, silent, then_reset
-from tests.proxy.upstream.harness import OutcomeAndBody, render_request, upstream
+from tests.proxy.upstream.harness import OutcomeAndBody, SampleRequest, upstream
 
 NOT_RUN = "X-Not-Run: 1\r\n"
 NO_LENGTH_HEAD = b"HTTP/1.1 200 OK\r\n\r\n"
@@ -118,9 +118,8 @@
     both = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1" + surplus)
     async with StubServer([both, reply("200 OK", b"2")]) as endpoint, upstream(endpoint.address) as harness:
         later: list[asyncio.Future[OutcomeAndBody]] = []
-        harness.pools.start_request(
-            b"a", render_request, TIMEOUT_S, lambda outcome, response: later.append(harness.start()[1])
-        )
+        first = SampleRequest(lambda outcome, response: later.append(harness.start()[1]))
+        harness.pools.start_request(b"a", first, TIMEOUT_S)
         await until(lambda: later)
         assert await later[0] == (Outcome.OK, b"2")
         assert endpoint.accepted_connections == 2
