--- a/fault_soak/oracle.py
+++ b/fault_soak/oracle.py
@@ -56,9 +56,9 @@
 STARVED_REQUESTS = 15
 REFUSALS = (429, 503)
 CONNECT_EJECTION = re.compile(r"endpoint_ejected .*outcome=connect_failed")
-WRITTEN_COUNT = re.compile(r"node_counters .*\bwritten=(\d+)")
+WRITTEN_COUNT = re.compile(r"counters_reported .*\bwritten=(\d+)")
 FAULT_LINES = re.compile(
-    r"policy_failed|action_failed|request_failed|request_read_failed|response_overdue|Traceback|invariant_"
+    r"policy_failed|action_failed|request_failed|request_read_failed|response_deadline_missed|Traceback|invariant_"
 )
 
 
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -223,7 +223,7 @@
         self._reload.after_start()
         self._counter_report.start()
         host, port = self._downstream.listen(self._config.listen)
-        log.info("node_listening name=%s address=%s:%d", self._config.name, host, port)
+        log.info("node_started name=%s address=%s:%d", self._config.name, host, port)
         return host, port
 
     async def wait(self) -> None:
@@ -398,7 +398,7 @@
 
     def _on_deadline(self, request_id: RequestId) -> None:
         """The policy owed a decision by now: the client gets a response all the same, within its time."""
-        log.error("response_overdue request=%d", request_id)
+        log.error("response_deadline_missed request=%d", request_id)
         self._respond_fault(request_id)
 
     def _respond_fault(self, request_id: RequestId) -> None:
--- a/load_balancer/proxy/observability/counters.py
+++ b/load_balancer/proxy/observability/counters.py
@@ -105,4 +105,4 @@
         summary = self._counters.summary(self._rules)
         if summary != self._last:
             self._last = summary
-            log.info("node_counters %s", summary, extra=UNLIMITED)
+            log.info("counters_reported %s", summary, extra=UNLIMITED)
--- a/load_balancer/proxy/reload.py
+++ b/load_balancer/proxy/reload.py
@@ -40,7 +40,7 @@
         if read_file_stamp(config.path) != config.file_stamp:
             self.request()
         elif config.file_discovery is not None and config.file_discovery != config.discovery:
-            log.info("configuration_newer_than_environment discovery=%s:%d", *config.file_discovery)
+            log.info("environment_overridden discovery=%s:%d", *config.file_discovery)
             self._discovery.move(config.file_discovery)
 
     def request(self) -> None:
--- a/load_balancer/proxy/upstream/connection_opener.py
+++ b/load_balancer/proxy/upstream/connection_opener.py
@@ -149,7 +149,7 @@
         waiting.cancel_timers()
         request.held_up_locally = True
         if waiting.local_failures == 0:
-            log.warning("connect_failed_locally endpoint=%s problem=%s", pool.name, error)
+            log.warning("local_connect_failed endpoint=%s problem=%s", pool.name, error)
         delay_s = min(MAX_LOCAL_RETRY_S, FIRST_LOCAL_RETRY_S * 2.0**waiting.local_failures)
         waiting.local_failures += 1
         waiting.race = self._loop.call_later(delay_s, self._connect_again, pool, waiting)
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -245,7 +245,9 @@
 def test_counters_that_miss_an_attempt_are_found() -> None:
     end = [NodeSignalled(2.0, "n0", 1, signal.SIGTERM), NodeExited(2.6, "n0", 1, 0)]
     events = [_sent(), _received(1.1), _done(1.2, AttemptResult.ERROR), _answer(502)]
-    counted = NodeLogged(2.5, "n0", 1, "INFO node_counters accepted=1 abandoned=0 written=1 responses=502:1")
+    counted = NodeLogged(
+        2.5, "n0", 1, "INFO counters_reported accepted=1 abandoned=0 written=1 responses=502:1"
+    )
     missed = replace(counted, line=counted.line.replace("written=1", "written=0"))
     assert Rule.COUNTERS not in _broken(*events, counted, *end)
     assert Rule.COUNTERS in _broken(*events, missed, *end)
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -176,7 +176,7 @@
         replace_policy(environment.node, ignore_events)
         response = await (await environment.connect_client()).fetch("look", deadline="0.3")
         assert response.status == 500
-        assert "response_overdue" in caplog.text
+        assert "response_deadline_missed" in caplog.text
 
 
 @async_test
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -92,7 +92,7 @@
 
 def _listening_address(line: str) -> tuple[str, int]:
     """The address that a node's first log line names."""
-    found = re.search(r"node_listening name=n0 address=([\d.]+):(\d+)", line)
+    found = re.search(r"node_started name=n0 address=([\d.]+):(\d+)", line)
     assert found, line
     return found[1], int(found[2])
 
