--- a/tools/measure_decision_cost.py
+++ b/tools/measure_decision_cost.py
@@ -2,14 +2,13 @@
 
     python -m tools.measure_decision_cost    from the root of the repository
 
-A request is its arrival, the draw of its endpoint and the outcome of its one attempt.  The time is that of
-this process, without any I/O; each figure is the least of several passes.
+A request consists of its arrival, the draw of its endpoint and the outcome of its one attempt.  The time is
+the processor time of this process, without any I/O; each figure is the minimum of several passes.
 """
 
 from __future__ import annotations
 
 import time
-from collections.abc import Iterator
 
 from load_balancer import Balancer
 from load_balancer.actions import SendAttempt
@@ -27,11 +26,12 @@
 REQUESTS = 100
 PASSES = 5
 LATENCY_MS = 20.0
-GAP_MS = 5.0
+INTERVAL_MS = 5.0
+BUDGET_MS = 3000.0
 
 
 class DecisionBenchmark:
-    """A policy that gets an even stream of requests, all of which are served."""
+    """A policy that receives a steady stream of requests, all of which are served."""
 
     def __init__(self, endpoint_count: int) -> None:
         settings = Settings(classes=(RequestClass("r", latency_objective_ms=1000, deadline_ms=3000),))
@@ -50,24 +50,25 @@
 
     def _serve_one(self) -> None:
         self._last_id += 1
-        self._now += GAP_MS
-        sends = list(self._sends(RequestArrived(self._last_id, 0, 3000.0)))
-        for number, send in enumerate(sends):
+        self._now += INTERVAL_MS
+        attempts = self._decide(RequestArrived(self._last_id, 0, BUDGET_MS))
+        for number, attempt in enumerate(attempts):
             ended = AttemptEnded(
-                self._last_id, number, send.endpoint_id, Outcome.OK, LATENCY_MS, finished=True
+                self._last_id, number, attempt.endpoint_id, Outcome.OK, LATENCY_MS, finished=True
             )
             self._balancer.handle(ended, self._now)
 
-    def _sends(self, arrival: RequestArrived) -> Iterator[SendAttempt]:
-        return (a for a in self._balancer.handle(arrival, self._now) if isinstance(a, SendAttempt))
+    def _decide(self, arrival: RequestArrived) -> list[SendAttempt]:
+        actions = self._balancer.handle(arrival, self._now)
+        return [action for action in actions if isinstance(action, SendAttempt)]
 
 
 def main() -> None:
     """Print a line for each number of endpoints."""
     for endpoint_count in ENDPOINT_COUNTS:
         benchmark = DecisionBenchmark(endpoint_count)
-        least = min(benchmark.seconds_per_request() for _ in range(PASSES))
-        print(f"{endpoint_count:5} endpoints: {1000.0 * least:.3f} ms a request")
+        seconds = min(benchmark.seconds_per_request() for _ in range(PASSES))
+        print(f"{endpoint_count:5} endpoints: {1000.0 * seconds:.3f} ms a request")
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tools/stream_recording.py
@@ -0,0 +1,176 @@
+"""The batches of tests/data/stream.bin: what two instances of the adapter receive, step by step.
+
+Instance 1 has one idle endpoint, so each of its requests has to be forwarded there at once.  Instance 2 has
+several endpoints that are added, drained and restarted, receives no outcomes and is killed in between.  No
+event depends on a decision.
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from enum import IntEnum
+
+from tools.adapter_protocol import BATCH_HEADER, RECORD_HEADER, EventCode
+
+STATUS_OK = 200
+
+STEADY_INSTANCE, CHANGING_INSTANCE = 1, 2
+STEPS = 60
+STEP_WITH_DELTA = 20
+STEP_WITH_RESTART = 40
+STEPS_BEFORE_ABANDONING = 30
+STEADY_REQUESTS = frozenset(range(2, 2 * STEPS + 2, 2))
+
+SETTINGS = """azs=north,south
+balancers=2
+guarantees.answerSlackMs=8.0
+guarantees.coldMs=4000.0
+guarantees.fallMultiple=3.0
+guarantees.overloadForMs=1000.0
+guarantees.startCapacity=0.3
+guarantees.stopSendingWithinMs=500.0
+layers=front,back
+policyLimits.cancel=true
+policyLimits.tryLimit=3
+profiles.count=2
+profiles.0.aimMs=200.0
+profiles.0.deadlineMs=1000.0
+profiles.0.effect=safe
+profiles.0.name=look
+profiles.1.aimMs=300.0
+profiles.1.deadlineMs=1000.0
+profiles.1.effect=unsafe
+profiles.1.name=pay
+registryMode=pushed
+tickMs=5.0
+"""
+
+
+class ListMode(IntEnum):
+    """How an endpoint list update is meant."""
+
+    DELTA = 1
+    CACHED = 2
+
+
+class Readiness(IntEnum):
+    """The state of an endpoint in a list."""
+
+    READY = 1
+    DRAINING = 2
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointRow:
+    """An endpoint of a recorded list; its address, zone and cell follow from the number of its server."""
+
+    server_number: int
+    readiness: Readiness = Readiness.READY
+    started_ms: float = 0.0
+
+    def pack(self) -> bytes:
+        """The row's entry in an endpoint table."""
+        zone, cell = self.server_number % 2, self.server_number // 3
+        address = server_address(self.server_number)
+        return struct.pack("<fH6sBHBd", 1.0, 0, address, zone, cell, self.readiness, self.started_ms)
+
+
+@dataclass(frozen=True, slots=True)
+class Batch:
+    """A recorded batch.
+
+    Attributes:
+        now_ms: its clock.
+        records: its records, headers included.
+    """
+
+    now_ms: float
+    records: list[bytes] = field(default_factory=list)
+
+    def pack(self) -> bytes:
+        """The batch's frame."""
+        body = b"".join(self.records)
+        return BATCH_HEADER.pack(len(body), self.now_ms, len(self.records)) + body
+
+
+def pack_record(code: EventCode, layout: str, *values: object, tail: bytes = b"") -> bytes:
+    """A record with its header; the tail follows the values."""
+    fields = struct.pack("<" + layout, *values) + tail
+    return RECORD_HEADER.pack(code, len(fields)) + fields
+
+
+def server_address(number: int) -> bytes:
+    """The address of a server in the wire's form."""
+    return bytes([10, 0, 0, number]) + struct.pack(">H", 8000)
+
+
+def start_instance(instance: int, seed: int) -> bytes:
+    """The record that starts an instance."""
+    return pack_record(
+        EventCode.INSTANCE_STARTED, "IQI", instance, seed, len(SETTINGS), tail=SETTINGS.encode()
+    )
+
+
+def update_list(instance: int, table_number: int, mode: ListMode, rows: list[EndpointRow]) -> list[bytes]:
+    """The two records of an endpoint list update: the table and the reference to it."""
+    entries = b"".join(row.pack() for row in rows)
+    return [
+        pack_record(EventCode.ENDPOINT_TABLE, "II", table_number, len(rows), tail=entries),
+        pack_record(EventCode.ENDPOINT_LIST_UPDATE, "IIIB", instance, 1, table_number, mode),
+    ]
+
+
+def arrival(instance: int, request: int, class_index: int, budget_ms: float) -> bytes:
+    """A request of the first tenant, without an idempotency key and a cost hint."""
+    fields = (instance, request, class_index, 0, 0, budget_ms, 0.0, 0)
+    return pack_record(EventCode.REQUEST_ARRIVED, "IIHHQddH", *fields)
+
+
+def arrivals(step: int, steady_request: int) -> list[bytes]:
+    """One request for each instance; the classes alternate."""
+    class_index = step % 2
+    return [
+        arrival(STEADY_INSTANCE, steady_request, class_index, 900.0),
+        arrival(CHANGING_INSTANCE, steady_request + 1, class_index, 300.0),
+    ]
+
+
+def list_changes(step: int, now_ms: float, rows: list[EndpointRow]) -> list[bytes]:
+    """What happens at this step to the second instance and to its endpoints."""
+    if step == STEP_WITH_DELTA:
+        changed = [EndpointRow(2, Readiness.DRAINING), EndpointRow(3, Readiness.READY, now_ms - 50.0)]
+        return update_list(CHANGING_INSTANCE, 3, ListMode.DELTA, changed)
+    if step == STEP_WITH_RESTART:
+        killed = pack_record(EventCode.INSTANCE_KILLED, "I", CHANGING_INSTANCE)
+        restarted = start_instance(CHANGING_INSTANCE, 13)
+        return [killed, restarted, *update_list(CHANGING_INSTANCE, 4, ListMode.CACHED, rows[2:])]
+    return []
+
+
+def outcomes(step: int, steady_request: int) -> list[bytes]:
+    """The first instance's attempt ends well; later, old requests of the second instance are abandoned."""
+    fields = (STEADY_INSTANCE, steady_request, 0, server_address(1), STATUS_OK, 10.0, 1, 0)
+    ended = pack_record(EventCode.ATTEMPT_ENDED, "IIH6sHdBB", *fields)
+    if step <= STEPS_BEFORE_ABANDONING:
+        return [ended]
+    abandoned = steady_request + 1 - 2 * STEPS_BEFORE_ABANDONING
+    return [ended, pack_record(EventCode.REQUEST_ABANDONED, "II", CHANGING_INSTANCE, abandoned)]
+
+
+def recorded_batches() -> Iterator[Batch]:
+    """The batches of the recording."""
+    rows = [EndpointRow(number) for number in range(2, 8)]
+    steady_update = update_list(STEADY_INSTANCE, 0, ListMode.CACHED, [EndpointRow(1)])
+    yield Batch(100.0, [start_instance(STEADY_INSTANCE, 11), *steady_update])
+    changing_update = update_list(CHANGING_INSTANCE, 1, ListMode.CACHED, rows)
+    yield Batch(105.0, [start_instance(CHANGING_INSTANCE, 12), *changing_update])
+    now_ms = 110.0
+    for step in range(STEPS):
+        steady_request = 2 * step + 2
+        now_ms += 10.0
+        yield Batch(now_ms, arrivals(step, steady_request) + list_changes(step, now_ms, rows))
+        now_ms += 10.0
+        yield Batch(now_ms, outcomes(step, steady_request))
+    yield Batch(now_ms + 1000.0)
