--- a/tests/proxy/async_support.py
+++ b/tests/proxy/async_support.py
@@ -10,15 +10,10 @@
 import uvloop
 
 T = TypeVar("T")
-
-
 P = ParamSpec("P")
 
-
 HOST = "127.0.0.1"
-
-
-TIMEOUT_S = 20.0  # how long a test waits for what must come; reached only by a failing test
+TIMEOUT_S = 20.0  # the longest wait for an expected event; only a failing test reaches it
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
@@ -41,7 +36,7 @@
 
 
 async def until(condition: Callable[[], T]) -> T:
-    """Wait until the condition is truthy, and give its value."""
+    """Wait until the condition is truthy; returns its value."""
     while not (value := condition()):
         await asyncio.sleep(0)
     return value
--- a/tests/proxy/blocking_client.py
+++ b/tests/proxy/blocking_client.py
@@ -1,4 +1,4 @@
-"""Clients on blocking sockets, which act while the node's loop stands still."""
+"""Clients on blocking sockets, which act while the node's loop is blocked."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def blocking_client(address: tuple[str, int]) -> socket.socket:
-    """A client with a request sent, which acts at once while the node's loop stands still."""
+    """A client that has sent a request; it acts at once, also while the node's loop is blocked."""
     client = socket.create_connection(address, timeout=TIMEOUT_S)
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     client.sendall(request("look"))
@@ -46,7 +46,7 @@
 async def connect_with_small_buffers(
     client: socket.socket, environment: NodeEnvironment
 ) -> DownstreamConnection:
-    """Connect so that a long response does not fit the buffers; gives the node's end of the connection."""
+    """Connect so that a long response does not fit the buffers; returns the node's end of the connection."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     client.setblocking(False)
     await asyncio.get_running_loop().sock_connect(client, environment.address)
--- a/tests/proxy/delayed_connections.py
+++ b/tests/proxy/delayed_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that come up when a test says so."""
+"""Connections to endpoints that are established when a test releases them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class DelayedConnections:
-    """Has connections to some endpoints come up only when released; all others are not delayed.
+    """Delays connections to some endpoints until they are released; others are not delayed.
 
     Attributes:
         begun: a connection is being delayed.
-        release: all connections come up from now on.
-        opening: connections that have begun and have neither come up nor failed.
+        release: set by a test to let all connections be established from now on.
+        opening: how many connections have begun and are neither established nor failed.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoints: Iterable[StubServer]) -> None:
--- a/tests/proxy/node_environment.py
+++ b/tests/proxy/node_environment.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import contextlib
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Mapping
 from dataclasses import dataclass
 from typing import Any
 
@@ -22,7 +22,14 @@
 
 @dataclass
 class NodeEnvironment:
-    """A node, its discovery and the task that serves it."""
+    """A running node and its stub of discovery.
+
+    Attributes:
+        node: the node.
+        address: where clients connect.
+        discovery: the stub that the node watches.
+        serving: the task that ends with the node.
+    """
 
     node: Node
     address: tuple[str, int]
@@ -41,9 +48,13 @@
 
 @contextlib.asynccontextmanager
 async def running_node(
-    *rows: dict[str, Any], sockets: int = 256, has_cached_list: bool = True, path: str = "", **changes: Any
+    *rows: Mapping[str, object],
+    sockets: int = 256,
+    has_cached_list: bool = True,
+    path: str = "",
+    **changes: Any,
 ) -> AsyncIterator[NodeEnvironment]:
-    """A node with these endpoints in its cached list; changes go into its settings."""
+    """A node with these endpoints in its cached list, and with changes to the sample settings."""
     listing_reader = ListingReader(("hall",), ("std",))
     async with StubDiscovery() as discovery:
         config = NodeConfiguration(
--- a/tests/proxy/policy_recorder.py
+++ b/tests/proxy/policy_recorder.py
@@ -21,7 +21,7 @@
 
 
 def replace_policy(node: Node, handle: Handle) -> Handle:
-    """Have this function decide in place of the node's policy; gives what has decided until now."""
+    """Have a function decide in place of the node's policy; returns the function that it replaces."""
     replaced = node.policy.handle
     node.policy.handle = handle  # type: ignore[method-assign]
     return replaced
@@ -33,12 +33,12 @@
 
 
 class PolicyRecorder:
-    """Records what a node tells its policy, and what of it is still open.
+    """Records the events that a node hands to its policy, and which requests and attempts are open.
 
     Attributes:
         events: all events, in order.
-        open_requests: the requests that the policy was told of and that have not ended.
-        open_attempts: the attempts that the policy has started and was not told the end of.
+        open_requests: the requests that have arrived and have not ended.
+        open_attempts: the attempts that the policy has started and whose end was not reported to it.
         on_attempt: called with each attempt's endpoint before the node starts it.
     """
 
@@ -77,7 +77,7 @@
 
     @property
     def nothing_open(self) -> bool:
-        """Whether the policy was told the end of every request and of every attempt."""
+        """Whether the end of every request and of every attempt was reported to the policy."""
         return not self.open_requests and not self.open_attempts
 
     @property
--- a/tests/proxy/request_state.py
+++ b/tests/proxy/request_state.py
@@ -1,4 +1,4 @@
-"""What a node holds for requests."""
+"""The state that a node keeps for requests."""
 
 from __future__ import annotations
 
--- a/tests/proxy/sample_settings.py
+++ b/tests/proxy/sample_settings.py
@@ -48,5 +48,5 @@
     return {"policyLimits": {**settings()["policyLimits"], **changes}}
 
 
-# Connections that a test delays are waited for as long as it takes.
 LONG_CONNECT_TIMEOUT = policy_limits(connectTimeoutMs=1000.0 * TIMEOUT_S)
+"""Settings with which a connection that a test delays does not time out."""
--- a/tests/proxy/stub_client.py
+++ b/tests/proxy/stub_client.py
@@ -6,7 +6,7 @@
 import contextlib
 import itertools
 from dataclasses import dataclass
-from typing import Any
+from typing import TypedDict, Unpack
 
 from tests.proxy.async_support import TIMEOUT_S
 from tests.proxy.http_text import read_head
@@ -41,9 +41,9 @@
         body = await self.reader.readexactly(int(headers["content-length"]))
         return Response(int(first.split(" ")[1]), headers, body)
 
-    async def fetch(self, *args: Any, **kwargs: Any) -> Response:
+    async def fetch(self, kind: str = "look", **options: Unpack[RequestOptions]) -> Response:
         """Send a request, built as by request(), and read the response."""
-        self.writer.write(request(*args, **kwargs))
+        self.writer.write(request(kind, **options))
         return await self.read_response()
 
     async def ends_without_output(self) -> bool:
@@ -59,32 +59,67 @@
 
 _names = itertools.count(1)
 
-
 _METHODS = {"look": "GET", "move": "POST", "book": "POST"}
 
 
-def request(
-    kind: str = "look",
-    *,
-    target: str = "/api/7f3a9c21e0b4d655",
-    method: str | None = None,
-    body: bytes = b"",
-    deadline: str = "3.0",
-    name: str = "",
-    drop: tuple[str, ...] = (),
-    extra: str = "",
-) -> bytes:
-    """The bytes of a client's request; drop leaves headers out, extra adds header lines."""
-    headers = {
-        "X-Request-Id": name or f"{next(_names):016x}",
-        "X-Class": kind,
-        "X-Tenant": "acme",
-        "X-Deadline": deadline,
-    }
-    if kind == "move":
-        headers["Idempotency-Key"] = "5c0f6e1a2b3d4c59"
-    method = method or _METHODS.get(kind, "GET")
-    if body or method == "POST":
-        headers["Content-Length"] = str(len(body))
-    lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if name not in drop)
-    return f"{method} {target} HTTP/1.1\r\nHost: api.internal\r\n{lines}{extra}\r\n".encode() + body
+class RequestOptions(TypedDict, total=False):
+    """The parts of a request that differ from the defaults of ClientRequest."""
+
+    target: str
+    method: str
+    body: bytes
+    deadline: str
+    name: str
+    drop: tuple[str, ...]
+    extra: str
+
+
+@dataclass(frozen=True, slots=True)
+class ClientRequest:
+    """A client's request.
+
+    Attributes:
+        kind: its class.
+        target: its request target.
+        method: its method; by default the method of its class.
+        body: its body.
+        deadline: the header with the seconds that are left for it.
+        name: its id; by default an unused one.
+        drop: the names of headers to leave out.
+        extra: further header lines.
+    """
+
+    kind: str = "look"
+    target: str = "/api/7f3a9c21e0b4d655"
+    method: str = ""
+    body: bytes = b""
+    deadline: str = "3.0"
+    name: str = ""
+    drop: tuple[str, ...] = ()
+    extra: str = ""
+
+    def render(self) -> bytes:
+        """The bytes of the request."""
+        method = self.method or _METHODS.get(self.kind, "GET")
+        headers = self._headers(method).items()
+        lines = "".join(f"{name}: {value}\r\n" for name, value in headers if name not in self.drop)
+        head = f"{method} {self.target} HTTP/1.1\r\nHost: api.internal\r\n{lines}{self.extra}\r\n"
+        return head.encode() + self.body
+
+    def _headers(self, method: str) -> dict[str, str]:
+        headers = {
+            "X-Request-Id": self.name or f"{next(_names):016x}",
+            "X-Class": self.kind,
+            "X-Tenant": "acme",
+            "X-Deadline": self.deadline,
+        }
+        if self.kind == "move":
+            headers["Idempotency-Key"] = "5c0f6e1a2b3d4c59"
+        if self.body or method == "POST":
+            headers["Content-Length"] = str(len(self.body))
+        return headers
+
+
+def request(kind: str = "look", **options: Unpack[RequestOptions]) -> bytes:
+    """The bytes of a client's request."""
+    return ClientRequest(kind, **options).render()
--- a/tests/proxy/stub_discovery.py
+++ b/tests/proxy/stub_discovery.py
@@ -5,15 +5,37 @@
 import asyncio
 import contextlib
 import json
+from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TypedDict
 
 from tests.proxy.async_support import HOST, TIMEOUT_S
 from tests.proxy.http_text import read_head
 
 
-def row(name: str, address: str, lifecycle: str = "SERVING", started: float = 0) -> dict[str, Any]:
-    """An endpoint as discovery lists it."""
+class EndpointRow(TypedDict):
+    """An endpoint as discovery lists it, by the documented names."""
+
+    instanceId: str
+    hostPort: str
+    zone: str
+    machineType: str
+    cell: int
+    lifecycle: str
+    weight: float
+    startedAtMs: float
+
+
+class EndpointList(TypedDict):
+    """An endpoint list of discovery, by the documented names; its rows may also be invalid ones."""
+
+    generation: int
+    reset: bool
+    instances: list[Mapping[str, object]]
+
+
+def row(name: str, address: str, lifecycle: str = "SERVING", started: float = 0) -> EndpointRow:
+    """A valid endpoint of the test's only zone and machine type."""
     return {
         "instanceId": name,
         "hostPort": address,
@@ -26,20 +48,28 @@
     }
 
 
-def listing(generation: int, *rows: dict[str, Any], reset: bool = True) -> dict[str, Any]:
-    """An endpoint list of discovery's, or with reset False a change to one."""
+def listing(generation: int, *rows: Mapping[str, object], reset: bool = True) -> EndpointList:
+    """A complete endpoint list, or with reset False a change to one."""
     return {"generation": generation, "reset": reset, "instances": list(rows)}
 
 
 @dataclass
 class StubDiscovery:
-    """Accepts watches and hands them out in the order in which they are opened."""
+    """Accepts watches and hands them out in the order in which they are opened.
+
+    Attributes:
+        address: where it listens.
+        targets: the request targets of all watches.
+        watches: the watches that no test has taken yet.
+        disconnected: a watch has been closed.
+        mute: whether watches are accepted without a response.
+    """
 
     address: str = ""
     targets: list[str] = field(default_factory=list)
     watches: asyncio.Queue[asyncio.StreamWriter] = field(default_factory=asyncio.Queue)
-    disconnected: asyncio.Event = field(default_factory=asyncio.Event)  # a watch has been closed
-    mute: bool = False  # watches are accepted and get no response
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
+    mute: bool = False
 
     async def __aenter__(self) -> StubDiscovery:
         self._server = await asyncio.start_server(self._serve, HOST, 0)
@@ -64,7 +94,7 @@
         return await asyncio.wait_for(self.watches.get(), TIMEOUT_S)
 
 
-def send_line(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
-    """Send one line on a watch."""
+def send_line(watch: asyncio.StreamWriter, line: Mapping[str, object] | bytes) -> None:
+    """Send one line on a watch, in a chunk of its own: a JSON object, or bytes as they are."""
     text = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
     watch.write(b"%x\r\n%s\r\n" % (len(text), text))
--- a/tests/proxy/stub_server.py
+++ b/tests/proxy/stub_server.py
@@ -1,4 +1,4 @@
-"""An endpoint on a loopback socket that behaves as a test says."""
+"""An endpoint on a loopback socket whose behaviour a test sets."""
 
 from __future__ import annotations
 
@@ -101,17 +101,35 @@
     await server.release.wait()
 
 
+async def _read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
+    first, headers = await read_head(reader)
+    method, target, _ = first.split(" ")
+    body = await reader.readexactly(int(headers.get("content-length", 0)))
+    return ReceivedRequest(method, target, headers, body)
+
+
 @dataclass
 class StubServer:
-    """An endpoint that goes through its behaviours, one for each request; the last one stays."""
+    """An endpoint that goes through its behaviours, one for each request; the last one stays.
+
+    Attributes:
+        behaviours: what it does with the requests to come.
+        address: where it listens.
+        received: all requests, in order.
+        release: set by a test to let behaviours go on.
+        request_received: a request has been received.
+        disconnected: a connection has been closed.
+        accepted_connections: how many connections were accepted.
+        writers: the writing ends of all connections, in the order in which they were accepted.
+    """
 
     behaviours: list[Behaviour]
     address: str = ""
     received: list[ReceivedRequest] = field(default_factory=list)
     release: asyncio.Event = field(default_factory=asyncio.Event)
-    request_received: asyncio.Event = field(default_factory=asyncio.Event)  # a request has been received
-    disconnected: asyncio.Event = field(default_factory=asyncio.Event)  # a connection has been closed
-    accepted_connections: int = 0  # how many connections were accepted
+    request_received: asyncio.Event = field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
+    accepted_connections: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
 
     async def __aenter__(self) -> StubServer:
@@ -132,10 +150,7 @@
         self.writers.append(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                first, headers = await read_head(reader)
-                method, target, _ = first.split(" ")
-                body = await reader.readexactly(int(headers.get("content-length", 0)))
-                request = ReceivedRequest(method, target, headers, body)
+                request = await _read_request(reader)
                 self.received.append(request)
                 self.request_received.set()
                 behave = self.behaviours.pop(0) if len(self.behaviours) > 1 else self.behaviours[0]
--- a/tests/proxy/upstream/harness.py
+++ b/tests/proxy/upstream/harness.py
@@ -4,8 +4,7 @@
 
 import asyncio
 import contextlib
-from collections.abc import AsyncIterator, Callable
-from typing import Any
+from collections.abc import AsyncIterator, Callable, Mapping
 
 from load_balancer.events import EndpointId, Outcome
 from load_balancer.proxy.discovery.endpoint_listing import EndpointListing, ListingReader
@@ -20,7 +19,7 @@
 OutcomeAndBody = tuple[Outcome, bytes]
 
 
-def endpoint_listing(version: int, *rows: dict[str, Any], reset: bool = True) -> EndpointListing:
+def endpoint_listing(version: int, *rows: Mapping[str, object], reset: bool = True) -> EndpointListing:
     """An endpoint list, or with reset False a change to one."""
     return ListingReader((), ()).read(listing(version, *rows, reset=reset))
 
@@ -68,7 +67,7 @@
         """Send a request and wait for its outcome."""
         return await self.start(timeout_s, endpoint_id)[1]
 
-    def update(self, version: int, *rows: dict[str, Any], reset: bool = True) -> list[EndpointId]:
+    def update(self, version: int, *rows: Mapping[str, object], reset: bool = True) -> list[EndpointId]:
         """Have the pools follow an endpoint list; gives the endpoints that were replaced."""
         return self.pools.update(endpoint_listing(version, *rows, reset=reset))
 
