--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -65,9 +65,9 @@
 
 
 def test_races_are_read_with_the_path_before_each_name() -> None:
-    row = "| a | b | `proxy/node.py` `Node.wait`, `Node.stop` | c | `test_main.py` `test_x` | held |"
+    row = "| a | b | `proxy/node.py` `Node.wait`, `Node.stop` | c | `process/test_log.py` `test_x` | held |"
     assert symbols_of_races(row) == {
         Symbol("proxy/node.py", "Node.wait"),
         Symbol("proxy/node.py", "Node.stop"),
-        Symbol("test_main.py", "test_x"),
+        Symbol("process/test_log.py", "test_x"),
     }
