--- a/tests/proxy/policy_recorder.py
+++ b/tests/proxy/policy_recorder.py
@@ -52,28 +52,36 @@
 
     def _record(self, event: Event, now: float) -> list[Action]:
         self.events.append(event)
-        if isinstance(event, RequestArrived):
-            self.open_requests.add(event.request_id)
-        elif isinstance(event, RequestAbandoned):
-            self.open_requests.discard(event.request_id)
-        elif isinstance(event, AttemptEnded):
-            self.open_attempts.remove((event.request_id, event.attempt_number))
-            if event.finished:
-                self.open_requests.discard(event.request_id)
+        self._record_event(event)
         actions = self._handle(event, now)
         for action in actions:
             self._record_action(action)
         return actions
 
+    def _record_event(self, event: Event) -> None:
+        match event:
+            case RequestArrived():
+                self.open_requests.add(event.request_id)
+            case RequestAbandoned():
+                self.open_requests.discard(event.request_id)
+            case AttemptEnded():
+                self.open_attempts.remove((event.request_id, event.attempt_number))
+                if event.finished:
+                    self.open_requests.discard(event.request_id)
+
     def _record_action(self, action: Action) -> None:
-        if isinstance(action, SendAttempt):
-            number = self._attempt_counts.get(action.request_id, 0)
-            self._attempt_counts[action.request_id] = number + 1
-            self.open_attempts.add((action.request_id, number))
-            if self.on_attempt is not None:
-                self.on_attempt(action.endpoint_id)
-        elif isinstance(action, RejectRequest | FailRequest):
-            self.open_requests.discard(action.request_id)
+        match action:
+            case SendAttempt():
+                self._record_attempt(action)
+            case RejectRequest() | FailRequest():
+                self.open_requests.discard(action.request_id)
+
+    def _record_attempt(self, attempt: SendAttempt) -> None:
+        number = self._attempt_counts.get(attempt.request_id, 0)
+        self._attempt_counts[attempt.request_id] = number + 1
+        self.open_attempts.add((attempt.request_id, number))
+        if self.on_attempt is not None:
+            self.on_attempt(attempt.endpoint_id)
 
     @property
     def nothing_open(self) -> bool:
@@ -87,5 +95,5 @@
 
     @property
     def budgets(self) -> list[float]:
-        """The time in milliseconds that the policy was given for each request."""
+        """The budget in milliseconds of each request that has arrived, in order."""
         return [event.budget_ms for event in self.events if isinstance(event, RequestArrived)]
