--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -51,7 +51,7 @@
     return source is not None and symbol.name in defined_names(source)
 
 
-def test_paths_are_told_from_other_code() -> None:
+def test_paths_are_distinguished_from_other_code() -> None:
     text = (
         "`proxy/node.py` `tests/` `/ready` `a.b` `.ci/run` `.venv/bin/python tools/x.py --seeds 1-2` `{}/x`"
     )
--- a/tools/replay_stream.py
+++ b/tools/replay_stream.py
@@ -43,7 +43,7 @@
     return count
 
 
-def play(command: str, stream: bytes, hash_seed: str) -> bytes:
+def adapter_output(command: str, stream: bytes, hash_seed: str) -> bytes:
     """The adapter's whole output for a stream."""
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
     run = subprocess.run(
@@ -86,8 +86,8 @@
     """Play the recording and check the replies; an AssertionError says what does not suit it."""
     command = adapter_command()
     stream = STREAM.read_bytes()
-    output = play(command, stream, "1")
-    assert output == play(command, stream, "2"), "replies depend on the order of a hash table"
+    output = adapter_output(command, stream, "1")
+    assert output == adapter_output(command, stream, "2"), "replies depend on the order of a hash table"
     replies = list(read_replies(output))
     assert len(replies) == count_batches(stream), "not one reply for each batch"
     check(replies)
