--- a/tests/proxy/policy_recorder.py
+++ b/tests/proxy/policy_recorder.py
@@ -21,7 +21,7 @@
 
 
 def replace_policy(node: Node, handle: Handle) -> Handle:
-    """Have this function decide in place of the node's policy; gives what has decided until now."""
+    """Have a function decide in place of the node's policy; returns the function that it replaces."""
     replaced = node.policy.handle
     node.policy.handle = handle  # type: ignore[method-assign]
     return replaced
@@ -33,12 +33,12 @@
 
 
 class PolicyRecorder:
-    """Records what a node tells its policy, and what of it is still open.
+    """Records the events that a node hands to its policy, and which requests and attempts are open.
 
     Attributes:
         events: all events, in order.
-        open_requests: the requests that the policy was told of and that have not ended.
-        open_attempts: the attempts that the policy has started and was not told the end of.
+        open_requests: the requests that have arrived and have not ended.
+        open_attempts: the attempts that the policy has started and whose end was not reported to it.
         on_attempt: called with each attempt's endpoint before the node starts it.
     """
 
@@ -52,32 +52,40 @@
 
     def _record(self, event: Event, now: float) -> list[Action]:
         self.events.append(event)
-        if isinstance(event, RequestArrived):
-            self.open_requests.add(event.request_id)
-        elif isinstance(event, RequestAbandoned):
-            self.open_requests.discard(event.request_id)
-        elif isinstance(event, AttemptEnded):
-            self.open_attempts.remove((event.request_id, event.attempt_number))
-            if event.finished:
-                self.open_requests.discard(event.request_id)
+        self._record_event(event)
         actions = self._handle(event, now)
         for action in actions:
             self._record_action(action)
         return actions
 
+    def _record_event(self, event: Event) -> None:
+        match event:
+            case RequestArrived():
+                self.open_requests.add(event.request_id)
+            case RequestAbandoned():
+                self.open_requests.discard(event.request_id)
+            case AttemptEnded():
+                self.open_attempts.remove((event.request_id, event.attempt_number))
+                if event.finished:
+                    self.open_requests.discard(event.request_id)
+
     def _record_action(self, action: Action) -> None:
-        if isinstance(action, SendAttempt):
-            number = self._attempt_counts.get(action.request_id, 0)
-            self._attempt_counts[action.request_id] = number + 1
-            self.open_attempts.add((action.request_id, number))
-            if self.on_attempt is not None:
-                self.on_attempt(action.endpoint_id)
-        elif isinstance(action, RejectRequest | FailRequest):
-            self.open_requests.discard(action.request_id)
+        match action:
+            case SendAttempt():
+                self._record_attempt(action)
+            case RejectRequest() | FailRequest():
+                self.open_requests.discard(action.request_id)
+
+    def _record_attempt(self, attempt: SendAttempt) -> None:
+        number = self._attempt_counts.get(attempt.request_id, 0)
+        self._attempt_counts[attempt.request_id] = number + 1
+        self.open_attempts.add((attempt.request_id, number))
+        if self.on_attempt is not None:
+            self.on_attempt(attempt.endpoint_id)
 
     @property
     def nothing_open(self) -> bool:
-        """Whether the policy was told the end of every request and of every attempt."""
+        """Whether the end of every request and of every attempt was reported to the policy."""
         return not self.open_requests and not self.open_attempts
 
     @property
@@ -87,5 +95,5 @@
 
     @property
     def budgets(self) -> list[float]:
-        """The time in milliseconds that the policy was given for each request."""
+        """The budget in milliseconds of each request that has arrived, in order."""
         return [event.budget_ms for event in self.events if isinstance(event, RequestArrived)]
