--- a/fault_soak/clients.py
+++ b/fault_soak/clients.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class ClientHabits:
+class ClientBehaviour:
     """What clients do now; the faults of a schedule change it.
 
     Attributes:
@@ -72,7 +72,7 @@
     _clients = itertools.count(1)
 
     def __init__(self, plan: Plan, nodes: list[NodeProcess], history: History, rng: random.Random) -> None:
-        self.habits = ClientHabits(leave_fraction=plan.client_leave_fraction)
+        self.behaviour = ClientBehaviour(leave_fraction=plan.client_leave_fraction)
         self._plan = plan
         self._nodes = nodes
         self._history = history
@@ -87,7 +87,7 @@
         """Send the planned load for so long, then wait for what is open."""
         until = History.now() + seconds
         while History.now() < until:
-            rate = self._plan.requests_per_s * len(self._nodes) * self.habits.rate_factor
+            rate = self._plan.requests_per_s * len(self._nodes) * self.behaviour.rate_factor
             await asyncio.sleep(self._rng.expovariate(rate))
             admitted = [node for node in self._nodes if node.admitted]
             if admitted:
@@ -129,7 +129,7 @@
         connection = self._take_idle(node) or await self._connect(node)
         if connection is None:
             return
-        leaves = self._rng.random() < self.habits.leave_fraction
+        leaves = self._rng.random() < self.behaviour.leave_fraction
         leave_s = self._rng.uniform(0.0, request.deadline_s) if leaves else None
         resend = await self._exchange(connection, request, leave_s, resent=False)
         if resend:
@@ -189,7 +189,7 @@
         return False
 
     async def _write(self, connection: ClientConnection, text: bytes) -> None:
-        if self.habits.slow:
+        if self.behaviour.slow:
             pieces = 4
             size = len(text) // pieces + 1
             for i in range(pieces):
@@ -295,7 +295,7 @@
                 await connection.reader.read(100)
         connection.writer.transport.abort()
 
-    async def crowd(self, node: NodeProcess, count: int, seconds: float) -> None:
+    async def hold_idle_connections(self, node: NodeProcess, count: int, seconds: float) -> None:
         """Open idle connections and keep them."""
         opened = [c for c in [await self._connect(node) for _ in range(count)] if c is not None]
         await asyncio.sleep(seconds)
--- /dev/null
+++ b/fault_soak/injection/clients.py
@@ -0,0 +1,75 @@
+"""Faults of clients."""
+
+from __future__ import annotations
+
+import asyncio
+
+from fault_soak.injection.environment import Environment
+from fault_soak.plan import Fault
+
+GARBAGE_CONNECTIONS = 5
+MAX_IDLE_CONNECTIONS = 150
+PIPELINED_REQUESTS = (3, 16, 17, 25)
+EARLY_LEAVE_FRACTION = 0.5
+
+
+async def leave_early(environment: Environment, fault: Fault) -> int | None:
+    """Raise the fraction of requests whose client leaves before the response."""
+    behaviour = environment.clients.behaviour
+    behaviour.leave_fraction += EARLY_LEAVE_FRACTION
+    await asyncio.sleep(fault.length_s)
+    behaviour.leave_fraction -= EARLY_LEAVE_FRACTION
+    return 1
+
+
+async def stop_within_requests(environment: Environment, fault: Fault) -> int | None:
+    """Have two clients stop within a request: the first of a connection, and a later one."""
+    for first in (True, False):
+        node = environment.rng.choice(environment.nodes)
+        if node.admitted:
+            environment.clients.spawn(environment.clients.stop_within_request(node, first=first))
+    return 1
+
+
+async def pipeline(environment: Environment, fault: Fault) -> int | None:
+    """Have a client send many requests at once on one connection."""
+    node = environment.node_of(fault)
+    if node.admitted:
+        count = environment.rng.choice(PIPELINED_REQUESTS)
+        environment.clients.spawn(environment.clients.pipeline(node, count))
+    return 1
+
+
+async def send_garbage(environment: Environment, fault: Fault) -> int | None:
+    """Have clients send input that is not HTTP."""
+    for _ in range(GARBAGE_CONNECTIONS):
+        node = environment.rng.choice(environment.nodes)
+        if node.admitted:
+            environment.clients.spawn(environment.clients.send_garbage(node))
+    return GARBAGE_CONNECTIONS
+
+
+async def write_slowly(environment: Environment, fault: Fault) -> int | None:
+    """Have all clients write their requests in pieces."""
+    behaviour = environment.clients.behaviour
+    behaviour.slow = True
+    await asyncio.sleep(fault.length_s)
+    behaviour.slow = False
+    return 1
+
+
+async def hold_idle_connections(environment: Environment, fault: Fault) -> int | None:
+    """Open a burst of connections to one node, and keep them idle."""
+    node = environment.node_of(fault)
+    count = min(environment.plan.descriptors, MAX_IDLE_CONNECTIONS)
+    await environment.clients.hold_idle_connections(node, count, fault.length_s)
+    return count
+
+
+async def double_load(environment: Environment, fault: Fault) -> int | None:
+    """Double the rate of requests."""
+    behaviour = environment.clients.behaviour
+    behaviour.rate_factor *= 2.0
+    await asyncio.sleep(fault.length_s)
+    behaviour.rate_factor /= 2.0
+    return 1
--- /dev/null
+++ b/fault_soak/injection/nodes.py
@@ -0,0 +1,95 @@
+"""Faults of the nodes' processes and of their logs."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+
+from fault_soak.history import History
+from fault_soak.injection.environment import Environment
+from fault_soak.plan import Fault, Plan
+from fault_soak.servers import Misbehaviour, StubServer
+
+KILL_GRACE_S = 0.7
+MAX_KILL_DEADLINE_S = 3.0
+NEW_CONNECTIONS_AFTER_TERM_S = (0.2, 0.4)
+PAUSE_S = (0.03, 0.15)
+BETWEEN_PAUSES_S = (0.2, 0.6)
+HANG_AT_TERM_PROBABILITY = 0.5
+DEAD_UNNOTICED_S = 0.3
+
+
+def kill_delay_s(plan: Plan) -> float:
+    """How long after SIGTERM a SIGKILL comes."""
+    longest_s = max(request_class.deadline_ms for request_class in plan.settings.classes) / 1000.0
+    return min(longest_s, MAX_KILL_DEADLINE_S) + KILL_GRACE_S
+
+
+async def terminate(environment: Environment, fault: Fault) -> int | None:
+    """Send SIGTERM, let the node drain, and start it again."""
+    node, rng = environment.node_of(fault), environment.rng
+    if node.name in environment.busy_nodes or not node.alive or not node.admitted:
+        return 0
+    environment.busy_nodes.add(node.name)
+    hanging = _hang_servers(environment) if rng.random() < HANG_AT_TERM_PROBABILITY else []
+    node.signal(signal.SIGTERM)
+    stop_s = rng.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
+    asyncio.get_running_loop().call_later(stop_s, setattr, node, "admitted", False)
+    await node.exited(kill_delay_s(environment.plan))
+    await node.kill()
+    await node.start()
+    for server in hanging:
+        server.misbehaviour = Misbehaviour.NONE
+    environment.busy_nodes.discard(node.name)
+    return 1
+
+
+def _hang_servers(environment: Environment) -> list[StubServer]:
+    """Have half of the servers hang for a complete shutdown."""
+    hanging = [server for server in environment.servers if environment.rng.random() < 0.5]
+    for server in hanging:
+        server.misbehaviour = Misbehaviour.HANG
+    return hanging
+
+
+async def kill(environment: Environment, fault: Fault) -> int | None:
+    """Kill the node, and start it again a little later."""
+    node = environment.node_of(fault)
+    if node.name in environment.busy_nodes or not node.alive:
+        return 0
+    environment.busy_nodes.add(node.name)
+    await node.kill()
+    await asyncio.sleep(DEAD_UNNOTICED_S)
+    await node.start()
+    environment.busy_nodes.discard(node.name)
+    return 1
+
+
+async def pause(environment: Environment, fault: Fault) -> int | None:
+    """Stop and continue the node's process again and again."""
+    node, rng = environment.node_of(fault), environment.rng
+    times = 0
+    until = History.now() + fault.length_s
+    while History.now() < until and node.alive:
+        times += 1
+        node.signal(signal.SIGSTOP)
+        await asyncio.sleep(rng.uniform(*PAUSE_S))
+        node.signal(signal.SIGCONT)
+        await asyncio.sleep(rng.uniform(*BETWEEN_PAUSES_S))
+    return times
+
+
+async def stall_log(environment: Environment, fault: Fault) -> int | None:
+    """Do not read the node's log for a while."""
+    node = environment.node_of(fault)
+    node.log_may_flow.clear()
+    await asyncio.sleep(fault.length_s)
+    node.log_may_flow.set()
+    return 1
+
+
+async def close_log(environment: Environment, fault: Fault) -> int | None:
+    """Close the read end of the node's log."""
+    environment.node_of(fault).close_log()
+    await asyncio.sleep(fault.length_s)
+    return 1
--- /dev/null
+++ b/fault_soak/injection/reloads.py
@@ -0,0 +1,66 @@
+"""Changes of a node's configuration, which move its discovery to another address."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+
+from fault_soak.discovery import Agent
+from fault_soak.injection.environment import Environment
+from fault_soak.nodes import NodeProcess
+from fault_soak.plan import Fault
+
+OLD_AGENT_CLOSES_S = 1.0
+REST_OF_FILE_DELAY_S = 0.05
+
+
+async def move_discovery(node: NodeProcess, agent: Agent) -> None:
+    """Have the agent listen at a new address, and notify the node of it by a new configuration."""
+    old = await agent.move()
+    node.write_configuration()
+    node.signal(signal.SIGHUP)
+    await _close_later(old)
+
+
+async def restart_and_reload(environment: Environment, fault: Fault) -> int | None:
+    """Have a new configuration arrive while the node starts."""
+    node, agent = environment.node_of(fault), environment.agent_of(fault)
+    if node.name in environment.busy_nodes or not node.alive:
+        return 0
+    environment.busy_nodes.add(node.name)
+    await node.kill()
+    await node.start()
+    await asyncio.sleep(environment.rng.uniform(0.0, 0.5))
+    await move_discovery(node, agent)
+    environment.busy_nodes.discard(node.name)
+    return 1
+
+
+async def reload(environment: Environment, fault: Fault) -> int | None:
+    """Change the configuration one to three times, shortly one after another."""
+    node, agent, rng = environment.node_of(fault), environment.agent_of(fault), environment.rng
+    times = rng.choice((1, 1, 2, 3))
+    moves = []
+    for _ in range(times):
+        moves.append(asyncio.ensure_future(move_discovery(node, agent)))
+        await asyncio.sleep(rng.choice((0.0, 0.01, 0.2)))
+    await asyncio.gather(*moves)
+    return times
+
+
+async def reload_partial(environment: Environment, fault: Fault) -> int | None:
+    """Send the signal while the file is half written; the rest follows at once, without a signal."""
+    node, agent = environment.node_of(fault), environment.agent_of(fault)
+    old = await agent.move()
+    node.write_configuration(cut=True)
+    node.signal(signal.SIGHUP)
+    await asyncio.sleep(REST_OF_FILE_DELAY_S)
+    node.write_configuration()
+    await _close_later(old)
+    return 1
+
+
+async def _close_later(old: asyncio.Server | None) -> None:
+    await asyncio.sleep(OLD_AGENT_CLOSES_S)
+    if old is not None:
+        old.close()
--- a/fault_soak/play.py
+++ b/fault_soak/play.py
@@ -16,7 +16,9 @@
 from fault_soak.clients import ClientPopulation
 from fault_soak.discovery import Agent, FleetState
 from fault_soak.history import History
-from fault_soak.injection import FaultInjector, World
+from fault_soak.injection.environment import Environment
+from fault_soak.injection.injector import inject
+from fault_soak.injection.nodes import kill_delay_s
 from fault_soak.nodes import NodeProcess
 from fault_soak.plan import PLAY_S, Plan
 from fault_soak.proxy import HOST
@@ -79,9 +81,9 @@
         await asyncio.gather(*(node.start() for node in nodes))
         await _until_ready(nodes)
         clients = ClientPopulation(plan, nodes, history, rng)
-        world = World(plan, history, nodes, agents, servers, fleet, clients, rng, set(), set())
-        await _run_load_and_faults(plan, world)
-        await _end_nodes(nodes, FaultInjector(world).kill_delay_s())
+        environment = Environment(plan, history, nodes, agents, servers, fleet, clients, rng)
+        await _run_load_and_faults(environment)
+        await _end_nodes(nodes, kill_delay_s(plan))
     finally:
         lag_task.cancel()
         for node in nodes:
@@ -151,16 +153,15 @@
             await asyncio.sleep(0.02)
 
 
-async def _run_load_and_faults(plan: Plan, world: World) -> None:
-    injector = FaultInjector(world)
-    began = History.now()
+async def _run_load_and_faults(environment: Environment) -> None:
+    began, faults = History.now(), environment.plan.faults
 
     async def run_at(index: int) -> None:
-        fault = plan.faults[index]
+        fault = faults[index]
         await asyncio.sleep(began + fault.begin_s - History.now())
-        await injector.run(index, fault)
+        await inject(environment, index, fault)
 
-    await asyncio.gather(world.clients.run(PLAY_S), *(run_at(i) for i in range(len(plan.faults))))
+    await asyncio.gather(environment.clients.run(PLAY_S), *(run_at(i) for i in range(len(faults))))
 
 
 async def _end_nodes(nodes: list[NodeProcess], kill_delay_s: float) -> None:
--- /dev/null
+++ b/tests/fault_soak/test_injection.py
@@ -0,0 +1,10 @@
+"""Every kind of fault has an injector."""
+
+from __future__ import annotations
+
+from fault_soak.injection.injector import INJECTORS
+from fault_soak.plan import FaultKind
+
+
+def test_every_kind_of_fault_has_an_injector() -> None:
+    assert set(INJECTORS) == set(FaultKind)
