--- a/fault_soak/oracle/__init__.py
+++ b/fault_soak/oracle/__init__.py
@@ -21,7 +21,7 @@
 from fault_soak.oracle.servers import check_drains, check_slow_start
 from fault_soak.oracle.view import HistoryView
 from fault_soak.oracle.violations import Rule, Violation
-from fault_soak.play import PlayResult
+from fault_soak.result import ScenarioResult
 
 __all__ = ["Rule", "Violation", "find_violations"]
 
@@ -45,7 +45,7 @@
 )
 
 
-def find_violations(result: PlayResult) -> list[Violation]:
+def find_violations(result: ScenarioResult) -> list[Violation]:
     """All broken invariants, in the order of the checks."""
     view = HistoryView(result)
     return [violation for check in CHECKS for violation in check(view)]
--- a/fault_soak/oracle/view.py
+++ b/fault_soak/oracle/view.py
@@ -25,7 +25,7 @@
 )
 from fault_soak.oracle.tolerances import MAX_LAG_ALLOWANCE_S, PAUSE_ALLOWANCE_S
 from fault_soak.plan import FaultKind, Plan
-from fault_soak.play import PlayResult
+from fault_soak.result import ScenarioResult
 from fault_soak.settings import RequestClass, Settings
 
 IncarnationEvent = TypeVar("IncarnationEvent", NodeStarted, NodeReady, NodeExited)
@@ -71,7 +71,7 @@
         ready: when each process of a node was ready for the first time.
     """
 
-    def __init__(self, result: PlayResult) -> None:
+    def __init__(self, result: ScenarioResult) -> None:
         self._history = result.history
         self.plan: Plan = result.plan
         self.settings: Settings = result.plan.settings
--- a/fault_soak/plan.py
+++ b/fault_soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws a play from its seed: the deployment, its settings, the load and a schedule of overlapping faults."""
+"""Draws a scenario from its seed: deployment, settings, load and a schedule of overlapping faults."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     Tenant,
 )
 
-PLAY_S = 12.0
+SCENARIO_S = 12.0
 COLD_START_FRACTION = 0.15
-MAX_LOAD_PER_S = 150.0  # what the soak's own process bears beside others
+MAX_LOAD_PER_S = 150.0  # what the fault test's own process can handle while others run
 MIN_NODE_LOAD_PER_S = 3.0
-MAX_WORK_FRACTION = 0.25  # of the latency objective: more could not be served
-SETTLE_S = 1.0  # before the first fault, and behind the last one's start
+MAX_WORK_FRACTION = 0.25  # of the latency objective: longer work could not be served in time
+SETTLE_S = 1.0  # before the first fault
 
 
 class FaultKind(Enum):
-    """What can go wrong in a play; the value is the name in reports."""
+    """What can go wrong in a scenario; the value is the name in reports."""
 
     NODE_TERM = "node-term"
     NODE_KILL = "node-kill"
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault of a schedule; target is the index of a node or server, times are seconds of the play."""
+    """A fault of a schedule; target is the index of a node or server, times are seconds of the scenario."""
 
     kind: FaultKind
     begin_s: float
@@ -88,25 +88,25 @@
     target: int
 
     def overlaps(self, other: Fault) -> bool:
-        """Whether both lie over each other for some time."""
+        """Whether both are active at the same time for a while."""
         return self.begin_s < other.begin_s + other.length_s and other.begin_s < self.begin_s + self.length_s
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All that a play is made of.
+    """Everything that determines a scenario.
 
     Attributes:
-        seed: what it was drawn from.
-        node_count: nodes.
-        server_count: servers at the start.
+        seed: the seed that it was drawn from.
+        node_count: the number of nodes.
+        server_count: the number of servers.
         settings: the settings of every node, but for its position and zone.
         descriptors: the descriptor limit of a node.
         requests_per_s: the load of each node.
-        work_ms: the mean service time.
-        server_slots: requests that a warm server works on at once.
-        cold_start: all servers have just been started when the nodes are.
-        client_leave_fraction: of all requests, those whose client leaves early.
+        work_ms: the planned service time, the median of those that are drawn.
+        server_slots: requests that a server serves concurrently.
+        cold_start: all servers start together with the nodes.
+        client_leave_fraction: the fraction of requests whose client leaves early.
         faults: the schedule.
     """
 
@@ -132,11 +132,11 @@
         return replace(self.settings, node_index=index, zone_index=index % len(self.settings.zones))
 
     def with_faults(self, indices: frozenset[int]) -> Plan:
-        """The same play with some of its faults alone."""
+        """The same scenario with some of its faults alone."""
         return replace(self, faults=tuple(f for i, f in enumerate(self.faults) if i in indices))
 
     def with_nodes(self, count: int) -> Plan:
-        """The same play with another number of nodes, which share the same load."""
+        """The same scenario with another number of nodes, which share the same load."""
         return replace(
             self,
             node_count=count,
@@ -149,7 +149,7 @@
 
 
 def draw_plan(seed: int, kinds: frozenset[FaultKind] = frozenset(FaultKind)) -> Plan:
-    """The play of a seed.  Consecutive seeds force consecutive pairs of kinds to lie over each other."""
+    """The plan of a seed; consecutive seeds force consecutive pairs of kinds to overlap."""
     rng = random.Random(seed)
     node_count = rng.choice((3, 4, 5, 6))
     server_count = rng.choice((1, 2, 4, 6, 8)) if rng.random() < 0.5 else rng.choice((4, 6))
@@ -182,15 +182,16 @@
 ) -> tuple[Fault, ...]:
     usable = sorted(kinds, key=lambda kind: kind.value)
     pairs = [pair for pair in ALL_PAIRS if kinds.issuperset(pair)]
-    # A stride that is prime to the number of pairs meets all of them, and neighbours differ in both kinds.
+    # The stride is coprime to the number of all pairs, so that consecutive seeds reach each of them, and the
+    # pairs of neighbouring seeds differ in both kinds.
     first, second = pairs[(seed * 97) % len(pairs)]
 
     def draw(kind: FaultKind, begin_s: float) -> Fault:
         length_s = rng.uniform(0.2, 3.0)
         count = server_count if kind in SERVER_KINDS else node_count
-        return Fault(kind, begin_s, min(length_s, PLAY_S - begin_s - 0.1), rng.randrange(count))
+        return Fault(kind, begin_s, min(length_s, SCENARIO_S - begin_s - 0.1), rng.randrange(count))
 
-    forced = draw(first, rng.uniform(SETTLE_S, PLAY_S - 5.0))
+    forced = draw(first, rng.uniform(SETTLE_S, SCENARIO_S - 5.0))
     offset_s = rng.choice((0.0, 0.02, rng.uniform(0.0, forced.length_s)))
     faults = [forced, replace(draw(second, forced.begin_s + offset_s), target=forced.target)]
     if first in SERVER_KINDS or second in SERVER_KINDS:
@@ -199,9 +200,9 @@
         anchor = rng.choice(faults)
         kind = rng.choice(usable)
         at = rng.choice(
-            (anchor.begin_s, anchor.begin_s + anchor.length_s, rng.uniform(SETTLE_S, PLAY_S - 3.0))
+            (anchor.begin_s, anchor.begin_s + anchor.length_s, rng.uniform(SETTLE_S, SCENARIO_S - 3.0))
         )
-        at = min(max(SETTLE_S, at + rng.choice((-0.05, 0.0, 0.05, 0.3))), PLAY_S - 2.5)
+        at = min(max(SETTLE_S, at + rng.choice((-0.05, 0.0, 0.05, 0.3))), SCENARIO_S - 2.5)
         faults.append(draw(kind, at))
     return tuple(sorted(faults, key=lambda fault: fault.begin_s))
 
--- a/fault_soak/serialization.py
+++ b/fault_soak/serialization.py
@@ -1,10 +1,12 @@
-"""The JSON forms of settings, endpoint lists and node configurations, with their documented names."""
+"""The JSON forms of settings, endpoint lists and reports, with their documented names."""
 
 from __future__ import annotations
 
-from typing import TypeAlias
+from collections.abc import Mapping
+from typing import Any, TypeAlias
 
 from fault_soak.endpoints import EndpointList, EndpointRow
+from fault_soak.report import Report
 from fault_soak.settings import Guarantees, PolicyLimits, RequestClass, Settings, Tenant
 
 JsonObject: TypeAlias = dict[str, object]
@@ -41,6 +43,34 @@
     }
 
 
+def report_to_json(report: Report) -> JsonObject:
+    """A report as it is stored."""
+    return {
+        "seed": report.seed,
+        "requests": report.requests,
+        "statuses": report.statuses,
+        "worst_lag_ms": report.worst_lag_ms,
+        "shim_loaded": report.shim_loaded,
+        "faults": list(report.faults),
+        "pairs": list(report.pairs),
+        "violations": list(report.violations),
+    }
+
+
+def report_from_json(content: Mapping[str, Any]) -> Report:
+    """A stored report."""
+    return Report(
+        seed=content["seed"],
+        requests=content["requests"],
+        statuses=content["statuses"],
+        worst_lag_ms=content["worst_lag_ms"],
+        shim_loaded=content["shim_loaded"],
+        faults=tuple(content["faults"]),
+        pairs=tuple(content["pairs"]),
+        violations=tuple(content["violations"]),
+    )
+
+
 def _guarantees_to_json(guarantees: Guarantees) -> JsonObject:
     return {
         "answerSlackMs": guarantees.response_slack_ms,
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -31,7 +31,7 @@
 )
 from fault_soak.oracle import Rule, find_violations
 from fault_soak.plan import Plan, draw_plan
-from fault_soak.play import PlayResult
+from fault_soak.result import ScenarioResult
 from fault_soak.servers import served_body
 from fault_soak.settings import DeduplicationScope, Idempotency, RequestClass
 
@@ -87,7 +87,7 @@
 
 def _broken(*events: HistoryEvent) -> set[Rule]:
     history = History([START, READY, *events])
-    result = PlayResult(_plan(), history, worst_lag_s=0.0, shim_loaded=True)
+    result = ScenarioResult(_plan(), history, worst_lag_s=0.0, shim_loaded=True)
     return {violation.rule for violation in find_violations(result)}
 
 
@@ -95,8 +95,10 @@
     return RequestSent(at, "r", "n0", 1, class_name, 1.0)
 
 
-def _received(at: float, server: str = "s0", connection: int = 1, told_s: float = 0.5) -> AttemptReceived:
-    return AttemptReceived(at, at, server, connection, ADDRESS, "r", told_s)
+def _received(
+    at: float, server: str = "s0", connection: int = 1, forwarded_s: float = 0.5
+) -> AttemptReceived:
+    return AttemptReceived(at, at, server, connection, ADDRESS, "r", forwarded_s)
 
 
 def _done(at: float, result: AttemptResult, server: str = "s0", connection: int = 1) -> AttemptDone:
@@ -189,16 +191,16 @@
             id="client gone",
         ),
         pytest.param(
-            [_sent(), _received(1.1, told_s=1.0)],
-            [_sent(), _received(1.1, told_s=1.1)],
+            [_sent(), _received(1.1, forwarded_s=1.0)],
+            [_sent(), _received(1.1, forwarded_s=1.1)],
             Rule.FORWARDED_DEADLINE,
-            id="told too much",
+            id="forwarded too much",
         ),
         pytest.param(
-            [_sent(), _received(1.1, told_s=0.001)],
-            [_sent(), _received(1.1, told_s=-0.001)],
+            [_sent(), _received(1.1, forwarded_s=0.001)],
+            [_sent(), _received(1.1, forwarded_s=-0.001)],
             Rule.FORWARDED_DEADLINE,
-            id="told nothing",
+            id="forwarded no time",
         ),
         pytest.param(
             [_sent(), _received(1.1), _answer(body=served_body("s0", "r"))],
--- a/tests/fault_soak/test_plan.py
+++ b/tests/fault_soak/test_plan.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fault_soak.plan import ALL_PAIRS, PLAY_S, FaultKind, draw_plan
+from fault_soak.plan import ALL_PAIRS, SCENARIO_S, FaultKind, draw_plan
 
 
 def test_plan_depends_on_its_seed_alone() -> None:
@@ -20,6 +20,6 @@
     assert len(met) >= 0.95 * len(ALL_PAIRS)
 
 
-def test_faults_end_within_the_play() -> None:
+def test_faults_end_within_the_scenario() -> None:
     for seed in range(50):
-        assert all(fault.begin_s + fault.length_s <= PLAY_S for fault in draw_plan(seed).faults)
+        assert all(fault.begin_s + fault.length_s <= SCENARIO_S for fault in draw_plan(seed).faults)
--- a/tests/fault_soak/test_short_play.py
+++ b/tests/fault_soak/test_short_play.py
@@ -9,12 +9,12 @@
 
 from fault_soak.oracle import find_violations
 from fault_soak.plan import draw_plan
-from fault_soak.play import play
+from fault_soak.scenario import run_scenario
 
 ROOT = Path(__file__).parent.parent.parent
 
 
 @pytest.mark.parametrize("seed", [8, 14, 66])
 def test_fixed_seed_breaks_no_rule(seed: int) -> None:
-    result = asyncio.run(play(draw_plan(seed), ROOT))
+    result = asyncio.run(run_scenario(draw_plan(seed), ROOT))
     assert [str(violation) for violation in find_violations(result)] == []
