--- a/fault_soak/clients.py
+++ b/fault_soak/clients.py
@@ -1,4 +1,4 @@
-"""Stub clients: a population that sends requests, waits, leaves early, retries, or misbehaves."""
+"""Stub clients, which send requests, wait, leave early, send again on another connection, or misbehave."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import itertools
 import random
 import uuid
+from collections.abc import Coroutine
 from dataclasses import dataclass, replace
 
 from fault_soak.history import (
@@ -23,16 +24,18 @@
 from fault_soak.plan import Plan
 from fault_soak.proxy import HOST
 
-GIVE_UP_AFTER_S = 0.7  # behind the deadline: half a second later a request is lost
+GIVE_UP_AFTER_S = 0.7  # after the deadline: a request counts as lost half a second after it
 CONNECT_TIMEOUT_S = 1.5
 METHODS = {"look": "GET", "move": "POST", "book": "POST"}
 BODY_BYTES = (0, 40, 3000)
 STOPPED_FOR_S = 4.5
+SLOW_PIECES = 4
+SLOW_INTERVAL_S = 0.05
 
 
 @dataclass(slots=True)
 class ClientConnection:
-    """A connection to one process of a node; answered once a request on it has been."""
+    """A connection to one process of a node; answered is set once a response has come on it."""
 
     node: NodeProcess
     incarnation: int
@@ -43,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as a client means to send it."""
+    """A request before it is sent."""
 
     request_id: str
     class_name: str
@@ -53,11 +56,11 @@
 
 @dataclass(slots=True)
 class ClientBehaviour:
-    """What clients do now; the faults of a schedule change it.
+    """What clients do at present; the faults of a schedule change it.
 
     Attributes:
-        rate_factor: the load against the planned one.
-        leave_fraction: of the requests, those whose client leaves early.
+        rate_factor: the load as a multiple of the planned one.
+        leave_fraction: the fraction of requests whose client leaves early.
         slow: requests are written in pieces.
     """
 
@@ -67,7 +70,7 @@
 
 
 class ClientPopulation:
-    """All clients of a play."""
+    """All clients of a scenario."""
 
     _clients = itertools.count(1)
 
@@ -84,7 +87,7 @@
     # The ordinary load.
 
     async def run(self, seconds: float) -> None:
-        """Send the planned load for so long, then wait for what is open."""
+        """Send the planned load for a time, then wait for the requests that are open."""
         until = History.now() + seconds
         while History.now() < until:
             rate = self._plan.requests_per_s * len(self._nodes) * self.behaviour.rate_factor
@@ -95,9 +98,9 @@
         while self._tasks:
             await asyncio.sleep(0.05)
 
-    def spawn(self, coroutine: object) -> None:
-        """Run something beside, and wait for it at the end of the load."""
-        task = asyncio.ensure_future(coroutine)  # type: ignore[call-overload]
+    def spawn(self, coroutine: Coroutine[object, object, None]) -> None:
+        """Run a client concurrently, and wait for it at the end of the load."""
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -131,11 +134,11 @@
             return
         leaves = self._rng.random() < self.behaviour.leave_fraction
         leave_s = self._rng.uniform(0.0, request.deadline_s) if leaves else None
-        resend = await self._exchange(connection, request, leave_s, resent=False)
-        if resend:
-            again = await self._connect(node)
-            if again is not None:
-                await self._exchange(again, request, leave_s, resent=True)
+        may_resend = await self._exchange(connection, request, leave_s, resent=False)
+        if may_resend:
+            new_connection = await self._connect(node)
+            if new_connection is not None:
+                await self._exchange(new_connection, request, leave_s, resent=True)
 
     def _take_idle(self, node: NodeProcess) -> ClientConnection | None:
         idle = self._idle[node.name]
@@ -190,11 +193,10 @@
 
     async def _write(self, connection: ClientConnection, text: bytes) -> None:
         if self.behaviour.slow:
-            pieces = 4
-            size = len(text) // pieces + 1
-            for i in range(pieces):
+            size = len(text) // SLOW_PIECES + 1
+            for i in range(SLOW_PIECES):
                 connection.writer.write(text[i * size : (i + 1) * size])
-                await asyncio.sleep(0.05)
+                await asyncio.sleep(SLOW_INTERVAL_S)
             return
         connection.writer.write(text)
         await connection.writer.drain()
@@ -216,8 +218,8 @@
         self._history.add(ResponseMissing(History.now(), request.request_id, closed, unread_allowed))
 
     def _record_response(self, request: ClientRequest, message: Message) -> None:
-        told = message.headers.get("retry-after")
-        retry_after_s = None if told is None else float(told)
+        retry_after = message.headers.get("retry-after")
+        retry_after_s = None if retry_after is None else float(retry_after)
         self._history.add(
             ResponseReceived(History.now(), request.request_id, message.status, message.body, retry_after_s)
         )
@@ -232,7 +234,7 @@
     # Misbehaviour.
 
     async def stop_within_request(self, node: NodeProcess, *, first: bool) -> None:
-        """Send half of a request, as the first of a connection or behind another one, and stay."""
+        """Send part of a request, as the first of a connection or after another one, and wait."""
         connection = await self._connect(node)
         if connection is None:
             return
@@ -265,26 +267,26 @@
         connection.writer.write(b"".join(request.text for request in requests))
         due_s = 0.0
         for position, request in enumerate(requests):
-            # Its response goes out behind the others.
+            # Its response is sent after those before it.
             due_s = max(due_s, request.deadline_s)
             requests[position] = replace(request, deadline_s=due_s)
             self._record_sent(connection, requests[position], resent=False)
-        closing = False  # nothing behind a response that closes is read
+        closing = False  # the node reads nothing after a request whose response closes the connection
         for position, request in enumerate(requests):
             try:
                 async with asyncio.timeout(request.deadline_s + GIVE_UP_AFTER_S):
                     message = await read_message(connection.reader)
             except (TimeoutError, ConnectionError, asyncio.IncompleteReadError) as error:
                 closed = not isinstance(error, TimeoutError)
-                for rest in requests[position:]:
-                    self._record_missing(rest, closed=closed, unread_allowed=closing)
+                for unanswered in requests[position:]:
+                    self._record_missing(unanswered, closed=closed, unread_allowed=closing)
                 break
             self._record_response(request, message)
             closing = message.headers.get("connection", "") == "close"
         connection.writer.transport.abort()
 
     async def send_garbage(self, node: NodeProcess) -> None:
-        """Send what is no request, and wait for the error or the close."""
+        """Send input that is not a request, and wait for the error or the close."""
         connection = await self._connect(node)
         if connection is None:
             return
--- a/fault_soak/discovery.py
+++ b/fault_soak/discovery.py
@@ -1,4 +1,4 @@
-"""Stub discovery: one state of the fleet, and an agent of each node that passes it on, late or never."""
+"""Stub discovery: the state of the fleet, and an agent for each node that forwards it, late or never."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of the list: the row as it is from this generation on."""
+    """One change of the endpoint list: the row of one server from this generation on."""
 
     generation: int
     row: EndpointRow
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class FleetState:
-    """What discovery knows: every change so far, in order."""
+    """What discovery knows: all changes so far, in order."""
 
     changes: list[Change] = field(default_factory=list)
 
@@ -56,7 +56,21 @@
 
 @dataclass(slots=True)
 class Agent:
-    """The agent of one node: holds a generation, and serves watches at its present address."""
+    """The agent of one node, which serves watches at its present address.
+
+    Attributes:
+        node: the node's name.
+        fleet: what discovery knows.
+        history: where notifications are recorded.
+        rng: the source of its random choices.
+        pushed: the node is sent changes as they come; otherwise it polls.
+        generation: the last generation that the agent has received.
+        down: it receives nothing, and serves no watch.
+        pieces: it sends lists indented and cut in two.
+        port: its present port.
+        fired: how often a fault of it took effect.
+        notified_from: no change counts as notified before this time.
+    """
 
     node: str
     fleet: FleetState
@@ -68,7 +82,7 @@
     pieces: bool = False
     port: int = 0
     fired: int = 0
-    notified_from: float = 0.0  # nothing counts as notified before
+    notified_from: float = 0.0
     _server: asyncio.Server | None = None
     _watches: set[asyncio.StreamWriter] = field(default_factory=set)
     _silenced: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -80,22 +94,22 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def move(self) -> asyncio.Server | None:
-        """Listen at a new address; gives the old listener, which is to be closed later."""
+        """Listen at a new address; returns the old listener, for the caller to close later."""
         old = self._server
-        self._silenced |= self._watches  # what they led to is told nothing any more
+        self._silenced |= self._watches  # watches at the old address receive nothing any more
         await self.open()
         self.notified_from = History.now() + MOVED_NOTIFIED_S
         return old
 
     def close(self) -> None:
-        """Stop."""
+        """Stop listening, and close all watches."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._watches):
             writer.close()
 
     def receive(self, generation: int) -> None:
-        """The agent gets everything up to a generation; it learns nothing while discovery is down."""
+        """Receive all changes up to a generation; has no effect while discovery is down."""
         if self.down or generation <= self.generation:
             return
         changes = self.fleet.changes[self.generation : generation]
@@ -109,20 +123,20 @@
         changed.set()
 
     def set_down(self, down: bool) -> None:
-        """Discovery is lost, or is back, with all that has changed meanwhile."""
+        """Lose discovery, or get it back with all changes since."""
         self.down = down
         if not down:
             self.receive(len(self.fleet.changes))
 
     def silence_watches(self) -> None:
-        """The watches that are open now get nothing any more."""
+        """Send nothing any more on the watches that are open now."""
         self.fired += len(self._watches)
         self._silenced |= self._watches
-        # What a silent watch misses counts as notified later.
+        # A node notices a silent watch late, so changes count as notified later.
         self.notified_from = max(self.notified_from, History.now() + SILENT_WATCH_NOTIFIED_S)
 
     def reset_watches(self) -> None:
-        """The watches that are open now are reset."""
+        """Reset the watches that are open now."""
         self.fired += len(self._watches)
         for writer in list(self._watches):
             reset(writer)
@@ -164,7 +178,7 @@
                     _write_chunk(writer, b"\n")
 
     def _record_written(self, known: int, generation: int) -> None:
-        """What has been written to a node counts as notified at once."""
+        """Record that a node was notified of all that has been written to it."""
         for change in self.fleet.changes[known:generation]:
             self._record(History.now(), change)
 
--- a/fault_soak/history.py
+++ b/fault_soak/history.py
@@ -1,4 +1,4 @@
-"""The history of one play: what stubs sent, received and announced, on one monotonic clock."""
+"""The history of one scenario: what stubs sent, received and announced, on one monotonic clock."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class AttemptResult(Enum):
-    """How a server's part in an attempt ended."""
+    """How an attempt ended at the server."""
 
     SERVED = "served"
     ERROR = "error"
     REJECTED = "rejected"
-    """The server said that the request has not run."""
+    """The server declared that it did not execute the request."""
 
     ABANDONED = "abandoned"
     """The connection closed before an answer was written."""
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEvent:
-    """Something that happened; at is in monotonic seconds."""
+    """An event; at is in monotonic seconds."""
 
     at: float
 
@@ -47,8 +47,8 @@
         node: the node's name.
         incarnation: which of the node's processes accepted the connection.
         class_name: its class.
-        deadline_s: how long the client waits.
-        resent: it was sent before, on a connection that closed without reading it.
+        deadline_s: the time that the client allows for the response.
+        resent: it was sent before, on a connection that was closed before it was read.
     """
 
     request_id: str
@@ -81,9 +81,9 @@
     """A client's wait ended without a complete response.
 
     Attributes:
-        request_id: the request that was waited for.
-        closed: the node ended the connection; else nothing came until the client gave up.
-        unread_allowed: the connection was idle, or the table was full, so that it may have closed unread.
+        request_id: the id of the request.
+        closed: the node closed the connection; otherwise nothing came until the client gave up.
+        unread_allowed: the node may have closed the connection without reading the request.
     """
 
     request_id: str
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteRequestStopped(HistoryEvent):
-    """A faulty client stopped within a request, and keeps its connection."""
+    """A faulty client stopped within a request, and keeps its connection open."""
 
     client: int
     node: str
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteRequestReleased(HistoryEvent):
-    """The faulty client got an error response, or its connection was closed."""
+    """The faulty client received an error response, or its connection was closed."""
 
     client: int
 
@@ -117,7 +117,7 @@
         connection: the server's number for the connection.
         host: the Host header, which names the node's listening address.
         request_id: the id that it carries.
-        forwarded_deadline_s: the time that the node says it will wait; None where it says nothing valid.
+        forwarded_deadline_s: the time that the node allows for it; None without a valid header.
     """
 
     first_byte_at: float
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDone(HistoryEvent):
-    """A server's part in an attempt ended; an attempt that is never done holds its connection to the end."""
+    """An attempt ended at the server; an attempt without an end is still in flight when the history ends."""
 
     server: str
     connection: int
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointNotified(HistoryEvent):
-    """From here on a node counts as notified of a server's state, as of a generation of the list."""
+    """From this time on a node counts as notified of a server's state in a generation of the list."""
 
     node: str
     server: str
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStarted(HistoryEvent):
-    """A process of a server came up; a cold one warms up from here on."""
+    """A process of a server started; a cold one warms up from this time on."""
 
     server: str
     cold: bool
@@ -212,7 +212,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultBegan(HistoryEvent):
-    """A fault of the schedule began; index is its place there."""
+    """A fault of the schedule began; index is its position there."""
 
     index: int
     kind: str
@@ -221,7 +221,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEnded(HistoryEvent):
-    """A fault ended; fired counts what it has done, None where that cannot be counted."""
+    """A fault ended; fired counts how often it took effect, None where that cannot be counted."""
 
     index: int
     kind: str
@@ -231,13 +231,13 @@
 
 @dataclass(slots=True)
 class History:
-    """The events of one play, in the order in which they were recorded."""
+    """The events of one scenario, in the order in which they were recorded."""
 
     events: list[HistoryEvent] = field(default_factory=list)
     _by_type: dict[type[HistoryEvent], list[HistoryEvent]] = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
-        """Index what is there by type: the oracle asks for one type at a time, again and again."""
+        """Index the events by type, as the oracle reads them."""
         self._by_type = defaultdict(list)
         for event in self.events:
             self._by_type[type(event)].append(event)
--- a/fault_soak/http.py
+++ b/fault_soak/http.py
@@ -1,4 +1,4 @@
-"""The little HTTP/1.1 that the stubs speak."""
+"""A minimal HTTP/1.1 for the stubs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A message as it was read; first_byte_at is in monotonic seconds."""
+    """A message that was read; first_byte_at is in monotonic seconds."""
 
     start_line: str
     headers: dict[str, str]
@@ -27,7 +27,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """Read a message whose length is given; asyncio.IncompleteReadError where the input ends before."""
+    """Read a message with a Content-Length; raises asyncio.IncompleteReadError where the input ends early."""
     first = await reader.readexactly(1)
     first_byte_at = asyncio.get_running_loop().time()
     head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -39,5 +39,5 @@
 
 
 def render(status: str, body: bytes = b"", extra: str = "") -> bytes:
-    """A response with its length."""
+    """A response with its Content-Length."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -1,4 +1,4 @@
-"""Guards of the node that the soak breaks in a scratch copy, one at a time, to prove that it notices."""
+"""Guards of the node, broken one at a time in a scratch copy to prove that the fault test notices."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A piece of source that is replaced; path is relative to the checkout."""
+    """A replacement of source text; path is relative to the checkout."""
 
     path: str
     old: str
@@ -28,9 +28,9 @@
 
     Attributes:
         name: the guard.
-        rules: the rules by which that may show.
-        edits: what breaks it.
-        kinds: the faults under which it matters; all where it always does.
+        rules: the rules that may then be violated.
+        edits: the changes of source that break it.
+        kinds: the kinds of faults under which the guard matters.
     """
 
     name: str
@@ -40,7 +40,7 @@
 
 
 class MutationError(Exception):
-    """The source that a mutation replaces is not there any more: the mutation has to follow the code."""
+    """The source text that a mutation replaces does not exist: the mutation has to follow the code."""
 
 
 SERVER = "load_balancer/proxy/server.py"
@@ -55,7 +55,7 @@
     Edit(SERVER, "rule = request.guard.check_write(endpoint, now_ms)", "rule = None"),
     Edit(SERVER, "request is not None and not request.guard.may_reject()", "request is None and True"),
 )
-"""The node's last check stands behind several guards: it is broken with them."""
+"""The node's last check backs up several guards, and is broken together with them."""
 
 MUTATIONS = (
     Mutation(
--- a/fault_soak/nodes.py
+++ b/fault_soak/nodes.py
@@ -1,4 +1,4 @@
-"""Real node processes: started by the deploy file's command, signalled, restarted and watched."""
+"""Real node processes, which are started with the deploy file's command and observed."""
 
 from __future__ import annotations
 
@@ -43,20 +43,20 @@
 
     Attributes:
         name: the node's name.
-        tree: the checkout that is played.
+        tree: the checkout that it runs from.
         directory: where its configuration file lies.
         port: where it listens.
         settings: its settings.
         descriptors: its descriptor limit.
-        discovery_address: gives the address of its agent.
-        known_list: gives the cached list for a start.
-        history: where its life is recorded.
+        discovery_address: returns the address of its agent.
+        known_list: returns the cached endpoint list for a start.
+        history: where its starts, ends, log and use of resources are recorded.
         shim: its failing system calls, None without a compiler.
         library: the library to load, None without a compiler.
         incarnation: counts its processes.
-        admitted: the front sends it new connections.
+        admitted: clients open new connections to it.
         process: its present process, or its last.
-        log_may_flow: its log is read.
+        log_may_flow: is set while its log is read.
     """
 
     name: str
@@ -87,7 +87,7 @@
         return self.process is not None and self.process.returncode is None
 
     def write_configuration(self, *, cut: bool = False) -> None:
-        """Write the configuration file as of now; cut leaves half of it out."""
+        """Write the present configuration to its file; with cut, only the first half of it."""
         content = {
             "name": self.name,
             "listen": self.address,
@@ -107,7 +107,7 @@
         temporary.replace(path)
 
     async def start(self) -> None:
-        """Start a process and watch it."""
+        """Start a process and observe it."""
         self.incarnation += 1
         self.write_configuration()
         environment = {
@@ -139,13 +139,13 @@
             task.add_done_callback(self._watchers.discard)
 
     def _shrink_log_pipe(self) -> None:
-        """A small pipe is full after few lines, as a large one is after a longer while."""
+        """Make the pipe of the log small, so that few lines fill it."""
         assert self.process is not None and self.process.stderr is not None
         pipe = self.process.stderr._transport.get_extra_info("pipe")  # type: ignore[attr-defined]
         fcntl.fcntl(pipe.fileno(), fcntl.F_SETPIPE_SZ, LOG_PIPE_BYTES)
 
     def signal(self, number: int) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal, if a process runs."""
         if self.alive and self.process is not None:
             self.history.add(NodeSignalled(History.now(), self.name, self.incarnation, number))
             with contextlib.suppress(ProcessLookupError):
@@ -158,7 +158,7 @@
             transport.close()
 
     async def exited(self, within_s: float) -> bool:
-        """Wait for its end; returns whether it came in time."""
+        """Wait for the end of the process; returns whether it came in time."""
         if self.process is None:
             return True
         try:
@@ -168,7 +168,7 @@
         return True
 
     async def kill(self) -> None:
-        """End it at once."""
+        """End the process at once."""
         if self.alive:
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGKILL)
--- a/fault_soak/proxy.py
+++ b/fault_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy between the nodes and one server, which fails in ways that networks fail."""
+"""A TCP proxy between the nodes and one server, which fails as networks do."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class LinkState(Enum):
-    """What the proxy does with what comes."""
+    """What the proxy does with connections and data."""
 
     PASS = "pass"
     SILENT = "silent"
-    """Nothing passes either way; connections still come up, as with a server that is stopped."""
+    """No data passes in either direction; connections are still established, as by a stopped process."""
 
     LATE = "late"
-    """Connections come up only when the state ends; those that are up pass on."""
+    """New connections are established only when the state ends; others pass data on."""
 
     RESET_REQUEST = "reset-request"
-    """The first bytes of a request reset its connection, and do not reach the server."""
+    """The first bytes of a request reset its connection, and are not forwarded."""
 
     RESET_RESPONSE = "reset-response"
-    """The first bytes of a response reset its connection; the server has run the request."""
+    """The first bytes of a response reset its connection; the server has executed the request."""
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
@@ -39,7 +39,7 @@
 
 
 class FaultProxy:
-    """Listens where discovery says that the server is, and relays to where it really is."""
+    """Listens at the address that discovery announces, and relays to the server's own port."""
 
     def __init__(self, server_port: int) -> None:
         self.state = LinkState.PASS
@@ -56,7 +56,7 @@
         self._accepting = False
 
     def open(self) -> None:
-        """Begin to listen, at the port that was set or else at a free one; to be called once."""
+        """Listen at the port that was set, or else at a free one; may be called once."""
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._listener.bind((HOST, self.port))
         self._listener.setblocking(False)
@@ -65,7 +65,7 @@
         self._accept_on()
 
     def close(self) -> None:
-        """Refuse connections from now on, and reset those that are open."""
+        """Refuse new connections, and reset those that are open."""
         self._accept_off()
         self._listener.close()
         self._close_fillers()
@@ -75,7 +75,7 @@
             task.cancel()
 
     def set_state(self, state: LinkState) -> None:
-        """Change what happens; leaving SILENT resets what was held up, as a network does that returns."""
+        """Change the state; the end of SILENT resets all connections, whose data was lost."""
         previous, self.state = self.state, state
         if previous is LinkState.SILENT:
             for writer in list(self._writers):
@@ -161,14 +161,14 @@
                 if self.state is LinkState.SILENT:
                     self.fired += 1
                     await self._passing.wait()
-                    return  # what was held up is lost
+                    return  # the data is lost
                 if self.state is resets:
                     self.fired += 1
                     reset(node_writer)
                     break
                 writer.write(data)
         except ConnectionError:
-            reset(writer)  # a reset is passed on as one
+            reset(writer)  # a reset is forwarded as a reset
             return
         if self.state is LinkState.SILENT:
             await self._passing.wait()
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -1,4 +1,4 @@
-"""Stub servers: work that takes time, a waiting room, drains, restarts, and what goes wrong in servers."""
+"""Stub servers: work that takes time, a queue, drains, restarts and misbehaviour."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Misbehaviour(Enum):
-    """How a server fails, beside its network."""
+    """How a server fails, apart from its network."""
 
     NONE = auto()
     HANG = auto()
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a request costs a server.
+    """The work of a server.
 
     Attributes:
-        work_s: the mean service time.
-        slots: requests that are worked on at once.
-        idle_s: after how long an idle connection is closed.
+        work_s: the planned service time, the median of those that are drawn.
+        slots: requests that are served concurrently.
+        idle_s: the time after which an idle connection is closed.
     """
 
     work_s: float
@@ -61,13 +61,13 @@
 
 
 def served_body(server: str, request_id: str) -> bytes:
-    """The one body that a server answers a request with."""
+    """The only correct body of a server's response to a request."""
     digest = hashlib.sha256(f"{server}/{request_id}".encode()).hexdigest()
     return f"{server}:{digest[:SERVED_BODY_BYTES]}".encode()
 
 
 class StubServer:
-    """One server behind its own fault proxy; a restart is a new process of it."""
+    """One server behind its own fault proxy; a restart stands for a new process of it."""
 
     _connections = itertools.count(1)
 
@@ -89,7 +89,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, *, started_unix_ms: float) -> None:
-        """Bring a process up; 0 as the time of its start means long ago."""
+        """Start a process; a start at time 0 means that it started long ago and is warm."""
         self.started_unix_ms = started_unix_ms
         self.draining = False
         self._slots = asyncio.Semaphore(self._load.slots)
@@ -104,7 +104,7 @@
         self._history.add(ServerStarted(History.now(), self.name, cold=started_unix_ms > 0))
 
     def crash(self) -> None:
-        """The process dies: its connections are reset, new ones are refused."""
+        """End the process: its connections are reset, new ones are refused."""
         if not self.up:
             return
         self.up = False
@@ -115,7 +115,7 @@
             reset(writer)
 
     def set_link(self, state: LinkState) -> None:
-        """Change the state of the network before it."""
+        """Change the state of the network in front of it."""
         if self.up and self.proxy is not None:
             self.proxy.set_state(state)
 
@@ -164,13 +164,15 @@
 
     def _record_attempt(self, connection: int, message: Message, request_id: str) -> None:
         try:
-            told = float(message.headers["x-deadline"])
+            deadline_s = float(message.headers["x-deadline"])
         except (KeyError, ValueError):
-            told = None
+            deadline_s = None
         host = message.headers.get("host", "")
         now = History.now()
         first_byte_at = min(now, message.first_byte_at)
-        self._history.add(AttemptReceived(now, first_byte_at, self.name, connection, host, request_id, told))
+        self._history.add(
+            AttemptReceived(now, first_byte_at, self.name, connection, host, request_id, deadline_s)
+        )
 
     async def _respond(
         self, connection: int, request_id: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -228,28 +230,28 @@
         return True
 
     def _garble(self, body: bytes, writer: asyncio.StreamWriter) -> bool:
-        whole = render("200 OK", body)
+        complete = render("200 OK", body)
         form = self._rng.randrange(6)
-        if form == 0:  # cut off
-            writer.write(whole[: self._rng.randrange(len(whole))])
+        if form == 0:  # truncated
+            writer.write(complete[: self._rng.randrange(len(complete))])
             return False
-        if form == 1:  # no HTTP
+        if form == 1:  # not HTTP
             writer.write(b"\x16\x03\x01 not a response\r\n\r\n")
             return False
-        if form == 2:  # a second answer, some milliseconds late
-            writer.write(whole)
+        if form == 2:  # a second response, some milliseconds later
+            writer.write(complete)
             delay_s = self._rng.choice((0.0, 0.002, 0.005))
             second = render("200 OK", b"stale:" + body)
             asyncio.get_running_loop().call_later(delay_s, writer.write, second)
             return True
-        if form == 3:  # no length, ended by a reset
+        if form == 3:  # without a length, ended by a reset
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[:5])
             asyncio.get_running_loop().call_later(0.002, reset, writer)
             return True
-        if form == 4:  # no length, complete
+        if form == 4:  # without a length, complete
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
             return False
-        writer.write(whole[:-1])  # never ends
+        writer.write(complete[:-1])  # incomplete, and the connection is kept
         return True
 
     async def _hang(self, reader: asyncio.StreamReader) -> bool:
--- a/fault_soak/shim.py
+++ b/fault_soak/shim.py
@@ -1,4 +1,4 @@
-"""Builds the library of failing system calls and controls it in running nodes."""
+"""Builds the library of failing system calls, and controls it in running nodes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Failure(IntEnum):
-    """The failures in the order in which the library's table holds them."""
+    """The failures, in the order of the library's table."""
 
     ACCEPT = 0
     CONNECT = 1
@@ -62,16 +62,16 @@
         self.path = path
 
     def set(self, failure: Failure, thousandths: int, error: int) -> None:
-        """Have a failure happen in so many thousandths of the calls from now on."""
+        """Have a fraction of the calls fail from now on, in thousandths."""
         _, _, fired, unused = self._read(failure)
         self._table[self._slice(failure)] = _ENTRY.pack(thousandths, error, fired, unused)
 
     def clear(self, failure: Failure) -> None:
-        """Have it happen no more."""
+        """Have no call fail any more."""
         self.set(failure, 0, 0)
 
     def fired(self, failure: Failure) -> int:
-        """How often it has happened."""
+        """How many calls have failed."""
         return self._read(failure)[2]
 
     def _read(self, failure: Failure) -> tuple[int, int, int, int]:
