--- a/fault_soak/injection/nodes.py
+++ b/fault_soak/injection/nodes.py
@@ -82,9 +82,9 @@
 async def stall_log(environment: Environment, fault: Fault) -> int | None:
     """Do not read the node's log for a while."""
     node = environment.node_of(fault)
-    node.log_may_flow.clear()
+    node.log_read_allowed.clear()
     await asyncio.sleep(fault.length_s)
-    node.log_may_flow.set()
+    node.log_read_allowed.set()
     return 1
 
 
--- a/fault_soak/injection/system_calls.py
+++ b/fault_soak/injection/system_calls.py
@@ -33,7 +33,7 @@
     error = environment.rng.choice(ERRORS[failure])
     before = node.shim.fired(failure)
     node.shim.set(failure, _THOUSANDTHS[failure], error)
-    if failure is Failure.OPEN:  # a new configuration arrives that cannot be opened for a while
+    if failure is Failure.OPEN:  # have the node open its file while that fails
         await move_discovery(node, environment.agent_of(fault))
     await asyncio.sleep(fault.length_s)
     node.shim.clear(failure)
--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -95,7 +95,7 @@
     ),
     Mutation(
         "a reset counts as not run",
-        frozenset({Rule.DUPLICATE, Rule.REFUSED_AFTER_RUN}),
+        frozenset({Rule.DUPLICATE, Rule.REJECTED_AFTER_RUN}),
         (
             *WITHOUT_LAST_CHECK,
             Edit(
@@ -153,7 +153,7 @@
     ),
     Mutation(
         "reject after a run",
-        frozenset({Rule.REFUSED_AFTER_RUN}),
+        frozenset({Rule.REJECTED_AFTER_RUN}),
         (
             *WITHOUT_LAST_CHECK,
             Edit(
--- a/fault_soak/nodes.py
+++ b/fault_soak/nodes.py
@@ -56,7 +56,7 @@
         incarnation: counts its processes.
         admitted: clients open new connections to it.
         process: its present process, or its last.
-        log_may_flow: is set while its log is read.
+        log_read_allowed: is set while the fault test reads its log.
     """
 
     name: str
@@ -73,7 +73,7 @@
     incarnation: int = 0
     admitted: bool = False
     process: asyncio.subprocess.Process | None = None
-    log_may_flow: asyncio.Event = field(default_factory=asyncio.Event)
+    log_read_allowed: asyncio.Event = field(default_factory=asyncio.Event)
     _watchers: set[asyncio.Task[None]] = field(default_factory=set)
 
     @property
@@ -120,7 +120,7 @@
         if self.shim is not None and self.library is not None:
             environment |= {"SOAK_SHIM": str(self.shim.path), "LD_PRELOAD": str(self.library)}
         run = tomllib.loads((self.tree / "deploy" / "balancer.toml").read_text())["run"]
-        self.log_may_flow.set()
+        self.log_read_allowed.set()
         self.process = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
@@ -178,11 +178,11 @@
         process, incarnation = self.process, self.incarnation
         assert process is not None and process.stderr is not None
         while True:
-            await self.log_may_flow.wait()
+            await self.log_read_allowed.wait()
             try:
                 line = await process.stderr.readline()
             except ValueError:
-                continue  # a line over the limit
+                continue  # the line exceeds the limit
             if not line:
                 return
             text = line.decode(errors="replace").rstrip()[:LOG_LINE_MAX]
--- a/fault_soak/oracle/answers.py
+++ b/fault_soak/oracle/answers.py
@@ -92,7 +92,7 @@
         )
         executed = any(view.has_run(attempt) for attempt in view.attempts_of(response.request_id))
         if executed and not repeatable_anywhere:
-            yield Violation(Rule.REFUSED_AFTER_RUN, response.request_id, f"status {response.status}")
+            yield Violation(Rule.REJECTED_AFTER_RUN, response.request_id, f"status {response.status}")
         yield from _check_retry_after(view, response)
 
 
--- a/fault_soak/oracle/violations.py
+++ b/fault_soak/oracle/violations.py
@@ -16,7 +16,11 @@
     """The same, where the node closed a new connection and forwarded nothing of the request."""
 
     DUPLICATE = "duplicate"
-    REFUSED_AFTER_RUN = "refused-after-run"
+    """A request was executed more often than its class allows."""
+
+    REJECTED_AFTER_RUN = "refused-after-run"
+    """A request was rejected, as if a retry were harmless, after a server may have executed it."""
+
     HEDGED = "hedged-where-forbidden"
     ATTEMPT_LIMIT = "attempt-limit"
     DRAIN = "drain"
--- a/fault_soak/scenario.py
+++ b/fault_soak/scenario.py
@@ -172,7 +172,7 @@
     """Send SIGTERM to every node, and wait for its end."""
     for node in nodes:
         node.admitted = False
-        node.log_may_flow.set()
+        node.log_read_allowed.set()
         node.signal(signal.SIGTERM)
     await asyncio.gather(*(node.exited(within_s) for node in nodes))
 
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -8,7 +8,6 @@
 import itertools
 import json
 import random
-from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum, auto
 
@@ -25,8 +24,11 @@
 from fault_soak.proxy import HOST, FaultProxy, LinkState, reset
 
 QUEUE_PER_SLOT = 8
-NOT_RUN = "X-Not-Run: 1\r\n"
+NOT_EXECUTED = "X-Not-Run: 1\r\n"
 SERVED_BODY_BYTES = 24
+ERROR_PROBABILITY = 0.7
+GARBLE_PROBABILITY = 0.6
+EARLY_IDLE_CLOSE_S = (0.0, 0.03, 0.1, 0.3)
 CONNECTION_ENDED = (
     asyncio.IncompleteReadError,
     asyncio.LimitOverrunError,
@@ -45,6 +47,34 @@
     IDLE_CLOSE = auto()
 
 
+class Malformation(Enum):
+    """How a response of a server that garbles is malformed."""
+
+    TRUNCATED = 0
+    NOT_HTTP = 1
+    SECOND_RESPONSE = 2
+    """A correct response, and another one some milliseconds later."""
+
+    RESET_WITHOUT_LENGTH = 3
+    COMPLETE_WITHOUT_LENGTH = 4
+    NEVER_ENDING = 5
+    """The last byte is missing, and the connection is kept."""
+
+
+@dataclass(frozen=True, slots=True)
+class ServedAttempt:
+    """An attempt that a server has received."""
+
+    history: History
+    server: str
+    connection: int
+    request_id: str
+
+    def end(self, result: AttemptResult) -> None:
+        """Record how it ended."""
+        self.history.add(AttemptDone(History.now(), self.server, self.connection, self.request_id, result))
+
+
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
     """The work of a server.
@@ -147,7 +177,7 @@
         """Serve one request; returns whether the connection is kept."""
         idle_s = self._load.idle_s
         if self.misbehaviour is Misbehaviour.IDLE_CLOSE:
-            idle_s = self._rng.choice((0.0, 0.03, 0.1, 0.3))
+            idle_s = self._rng.choice(EARLY_IDLE_CLOSE_S)
         try:
             message = await asyncio.wait_for(read_message(reader), idle_s + 0.001)
         except TimeoutError:
@@ -158,11 +188,11 @@
                 return await self._hang(reader)
             writer.write(render("503 Unavailable" if self.draining else "200 OK"))
             return True
-        request_id = message.headers.get("x-request-id", "")
-        self._record_attempt(connection, message, request_id)
-        return await self._respond(connection, request_id, reader, writer)
+        attempt = self._record_attempt(connection, message)
+        return await self._respond(attempt, reader, writer)
 
-    def _record_attempt(self, connection: int, message: Message, request_id: str) -> None:
+    def _record_attempt(self, connection: int, message: Message) -> ServedAttempt:
+        request_id = message.headers.get("x-request-id", "")
         try:
             deadline_s = float(message.headers["x-deadline"])
         except (KeyError, ValueError):
@@ -173,35 +203,39 @@
         self._history.add(
             AttemptReceived(now, first_byte_at, self.name, connection, host, request_id, deadline_s)
         )
+        return ServedAttempt(self._history, self.name, connection, request_id)
 
     async def _respond(
-        self, connection: int, request_id: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, attempt: ServedAttempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        def done(result: AttemptResult) -> None:
-            self._history.add(AttemptDone(History.now(), self.name, connection, request_id, result))
-
         if self.draining or self._waiting >= QUEUE_PER_SLOT * self._load.slots:
-            done(AttemptResult.REJECTED)
-            writer.write(render("503 Unavailable", extra=NOT_RUN))
+            attempt.end(AttemptResult.REJECTED)
+            writer.write(render("503 Unavailable", extra=NOT_EXECUTED))
             return True
         if self.misbehaviour is Misbehaviour.HANG:
             self.fired += 1
             await self._hang(reader)
-            done(AttemptResult.ABANDONED)
+            attempt.end(AttemptResult.ABANDONED)
+            return False
+        if not await self._work_unless_closed(reader):
+            attempt.end(AttemptResult.ABANDONED)
             return False
+        return self._answer(attempt, writer)
+
+    async def _work_unless_closed(self, reader: asyncio.StreamReader) -> bool:
+        """Do the work of a request; returns False where the connection was closed before its end."""
         work = asyncio.ensure_future(self._work())
         closed = asyncio.ensure_future(reader.read(1))
         try:
             await asyncio.wait((work, closed), return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
-                done(AttemptResult.ABANDONED)
                 return False
         finally:
             work.cancel()
             closed.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await closed
-        return self._answer(request_id, writer, done)
+        return True
 
     async def _work(self) -> None:
         self._waiting += 1
@@ -211,48 +245,47 @@
         finally:
             self._waiting -= 1
 
-    def _answer(
-        self, request_id: str, writer: asyncio.StreamWriter, done: Callable[[AttemptResult], None]
-    ) -> bool:
-        body = served_body(self.name, request_id)
-        if self.misbehaviour is Misbehaviour.ERRORS and self._rng.random() < 0.7:
+    def _answer(self, attempt: ServedAttempt, writer: asyncio.StreamWriter) -> bool:
+        body = served_body(self.name, attempt.request_id)
+        if self.misbehaviour is Misbehaviour.ERRORS and self._rng.random() < ERROR_PROBABILITY:
             self.fired += 1
-            done(AttemptResult.ERROR)
+            attempt.end(AttemptResult.ERROR)
             writer.write(render("500 Error", b"broken"))
             return True
-        if self.misbehaviour is Misbehaviour.GARBLE and self._rng.random() < 0.6:
+        attempt.end(AttemptResult.SERVED)
+        if self.misbehaviour is Misbehaviour.GARBLE and self._rng.random() < GARBLE_PROBABILITY:
             self.fired += 1
-            done(AttemptResult.SERVED)
             return self._garble(body, writer)
-        done(AttemptResult.SERVED)
-        report = json.dumps({"inflight": self._waiting})
-        writer.write(render("200 OK", body, f"X-Load: {report}\r\n"))
+        load_report = json.dumps({"inflight": self._waiting})
+        writer.write(render("200 OK", body, f"X-Load: {load_report}\r\n"))
         return True
 
     def _garble(self, body: bytes, writer: asyncio.StreamWriter) -> bool:
+        """Write a malformed response; returns whether the connection is kept."""
+        loop = asyncio.get_running_loop()
         complete = render("200 OK", body)
-        form = self._rng.randrange(6)
-        if form == 0:  # truncated
-            writer.write(complete[: self._rng.randrange(len(complete))])
-            return False
-        if form == 1:  # not HTTP
-            writer.write(b"\x16\x03\x01 not a response\r\n\r\n")
-            return False
-        if form == 2:  # a second response, some milliseconds later
-            writer.write(complete)
-            delay_s = self._rng.choice((0.0, 0.002, 0.005))
-            second = render("200 OK", b"stale:" + body)
-            asyncio.get_running_loop().call_later(delay_s, writer.write, second)
-            return True
-        if form == 3:  # without a length, ended by a reset
-            writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[:5])
-            asyncio.get_running_loop().call_later(0.002, reset, writer)
-            return True
-        if form == 4:  # without a length, complete
-            writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
-            return False
-        writer.write(complete[:-1])  # incomplete, and the connection is kept
-        return True
+        match Malformation(self._rng.randrange(len(Malformation))):
+            case Malformation.TRUNCATED:
+                writer.write(complete[: self._rng.randrange(len(complete))])
+                return False
+            case Malformation.NOT_HTTP:
+                writer.write(b"\x16\x03\x01 not a response\r\n\r\n")
+                return False
+            case Malformation.SECOND_RESPONSE:
+                writer.write(complete)
+                delay_s = self._rng.choice((0.0, 0.002, 0.005))
+                loop.call_later(delay_s, writer.write, render("200 OK", b"stale:" + body))
+                return True
+            case Malformation.RESET_WITHOUT_LENGTH:
+                writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[:5])
+                loop.call_later(0.002, reset, writer)
+                return True
+            case Malformation.COMPLETE_WITHOUT_LENGTH:
+                writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
+                return False
+            case Malformation.NEVER_ENDING:
+                writer.write(complete[:-1])
+                return True
 
     async def _hang(self, reader: asyncio.StreamReader) -> bool:
         with contextlib.suppress(ConnectionError):
--- a/fault_soak/shim.c
+++ b/fault_soak/shim.c
@@ -1,7 +1,7 @@
-/* System calls that fail for a moment, as Linux documents it; loaded into a node by LD_PRELOAD.
+/* Makes system calls of a node fail for a while, as Linux documents; loaded by LD_PRELOAD.
  *
- * The file that SOAK_SHIM names is mapped and shared with the soak, which sets how often each failure happens
- * (in thousandths of the calls) and reads how often it did. */
+ * The file that SOAK_SHIM names is mapped and shared with the fault test, which sets how often each failure
+ * happens (in thousandths of the calls) and reads how often it did. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -157,8 +157,8 @@
         pytest.param(
             [_sent("book"), _received(1.1), _done(1.1, AttemptResult.REJECTED), _answer(503)],
             [_sent("book"), _received(1.1), _done(1.1, AttemptResult.ABANDONED), _answer(503)],
-            Rule.REFUSED_AFTER_RUN,
-            id="refused after a run",
+            Rule.REJECTED_AFTER_RUN,
+            id="rejected after a run",
         ),
         pytest.param(
             [_sent(), _answer(503)], [_sent(), _answer(503, after=None)], Rule.RETRY_AFTER, id="no wait"
@@ -252,7 +252,7 @@
         ),
     ],
 )
-def test_rule_tells_kept_from_broken(
+def test_rule_distinguishes_kept_from_broken(
     kept: list[HistoryEvent], broken: list[HistoryEvent], rule: Rule
 ) -> None:
     assert rule not in _broken(*kept)
