--- /dev/null
+++ b/fault_soak/clients/faulty.py
@@ -0,0 +1,111 @@
+"""Clients that misbehave."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import itertools
+import random
+from collections.abc import Sequence
+from dataclasses import replace
+
+from fault_soak.clients.connections import ClientConnection, connect
+from fault_soak.clients.exchange import GIVE_UP_AFTER_S, RequestExchange
+from fault_soak.clients.requests import ClientRequest, RequestFactory
+from fault_soak.history import History, IncompleteRequestReleased, IncompleteRequestStopped
+from fault_soak.http import read_message
+from fault_soak.nodes import NodeProcess
+
+STOPPED_FOR_S = 4.5
+INCOMPLETE_DEADLINE_S = 1.0
+GARBAGE = (b"\x00\x01\x02\r\n\r\n", b"GET /api HTTP/9.9\r\n\r\n", b"A" * 70000)
+
+
+class FaultyClients:
+    """Clients that stop, pipeline, send garbage or only connect."""
+
+    _client_numbers = itertools.count(1)
+
+    def __init__(self, requests: RequestFactory, exchange: RequestExchange, rng: random.Random) -> None:
+        self._requests = requests
+        self._exchange = exchange
+        self._recorder = exchange.recorder
+        self._history = exchange.recorder.history
+        self._rng = rng
+
+    async def stop_within_request(self, node: NodeProcess, *, first: bool) -> None:
+        """Send part of a request, as the first of a connection or after another one, and wait."""
+        connection = await connect(node)
+        if connection is None:
+            return
+        if not first:
+            await self._exchange.run(connection, self._requests.build("look"))
+            if not connection.is_open:
+                return
+            self._exchange.idle.discard(connection)
+        text = self._requests.build("move", INCOMPLETE_DEADLINE_S).text
+        with contextlib.suppress(ConnectionError):
+            connection.writer.write(text[: len(text) - 1 - self._rng.randrange(len(text) // 2)])
+            await connection.writer.drain()
+        client = next(self._client_numbers)
+        self._history.add(IncompleteRequestStopped(History.now(), client, node.name, connection.incarnation))
+        with contextlib.suppress(TimeoutError, ConnectionError):
+            async with asyncio.timeout(STOPPED_FOR_S):
+                await connection.reader.read(1)
+            self._history.add(IncompleteRequestReleased(History.now(), client))
+        connection.abort()
+
+    async def pipeline(self, node: NodeProcess, count: int) -> None:
+        """Send many requests at once on one connection, and read the responses in order."""
+        connection = await connect(node)
+        if connection is None:
+            return
+        drawn = [self._requests.draw() for _ in range(count)]
+        connection.writer.write(b"".join(request.text for request in drawn))
+        requests = _with_pipelined_deadlines(drawn)
+        for request in requests:
+            self._recorder.sent(connection, request)
+        await self._read_pipelined(connection, requests)
+        connection.abort()
+
+    async def _read_pipelined(self, connection: ClientConnection, requests: Sequence[ClientRequest]) -> None:
+        closing = False  # the node reads nothing after a request whose response closes the connection
+        for position, request in enumerate(requests):
+            try:
+                async with asyncio.timeout(request.deadline_s + GIVE_UP_AFTER_S):
+                    message = await read_message(connection.reader)
+            except (TimeoutError, ConnectionError, asyncio.IncompleteReadError) as error:
+                closed = not isinstance(error, TimeoutError)
+                for unanswered in requests[position:]:
+                    self._recorder.missing(unanswered, closed=closed, unread_allowed=closing)
+                return
+            self._recorder.received(request, message)
+            closing = message.closes_connection
+
+    async def send_garbage(self, node: NodeProcess) -> None:
+        """Send input that is not a request, and wait for the error or the close."""
+        connection = await connect(node)
+        if connection is None:
+            return
+        garbage = self._rng.choice(GARBAGE)
+        with contextlib.suppress(ConnectionError, TimeoutError):
+            connection.writer.write(garbage)
+            async with asyncio.timeout(STOPPED_FOR_S):
+                await connection.reader.read(100)
+        connection.abort()
+
+    async def hold_idle_connections(self, node: NodeProcess, count: int, seconds: float) -> None:
+        """Open idle connections and keep them."""
+        opened = [c for c in [await connect(node) for _ in range(count)] if c is not None]
+        await asyncio.sleep(seconds)
+        for connection in opened:
+            connection.abort()
+
+
+def _with_pipelined_deadlines(requests: Sequence[ClientRequest]) -> list[ClientRequest]:
+    """The requests with the deadlines of those before them, as responses are sent in order."""
+    deadlines_s = itertools.accumulate((request.deadline_s for request in requests), max)
+    return [
+        replace(request, deadline_s=deadline_s)
+        for request, deadline_s in zip(requests, deadlines_s, strict=True)
+    ]
--- a/fault_soak/http.py
+++ b/fault_soak/http.py
@@ -20,6 +20,11 @@
         """The status code of a response."""
         return int(self.start_line.split(" ")[1])
 
+    @property
+    def closes_connection(self) -> bool:
+        """Whether the sender closes the connection after it."""
+        return self.headers.get("connection", "") == "close"
+
     @property
     def target(self) -> str:
         """The target of a request."""
--- a/fault_soak/injection/clients.py
+++ b/fault_soak/injection/clients.py
@@ -27,7 +27,7 @@
     for first in (True, False):
         node = environment.rng.choice(environment.nodes)
         if node.admitted:
-            environment.clients.spawn(environment.clients.stop_within_request(node, first=first))
+            environment.clients.spawn(environment.clients.faulty.stop_within_request(node, first=first))
     return 1
 
 
@@ -36,7 +36,7 @@
     node = environment.node_of(fault)
     if node.admitted:
         count = environment.rng.choice(PIPELINED_REQUESTS)
-        environment.clients.spawn(environment.clients.pipeline(node, count))
+        environment.clients.spawn(environment.clients.faulty.pipeline(node, count))
     return 1
 
 
@@ -45,7 +45,7 @@
     for _ in range(GARBAGE_CONNECTIONS):
         node = environment.rng.choice(environment.nodes)
         if node.admitted:
-            environment.clients.spawn(environment.clients.send_garbage(node))
+            environment.clients.spawn(environment.clients.faulty.send_garbage(node))
     return GARBAGE_CONNECTIONS
 
 
@@ -62,7 +62,7 @@
     """Open a burst of connections to one node, and keep them idle."""
     node = environment.node_of(fault)
     count = min(environment.plan.descriptors, MAX_IDLE_CONNECTIONS)
-    await environment.clients.hold_idle_connections(node, count, fault.length_s)
+    await environment.clients.faulty.hold_idle_connections(node, count, fault.length_s)
     return count
 
 
--- a/fault_soak/injection/environment.py
+++ b/fault_soak/injection/environment.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass, field
 
-from fault_soak.clients import ClientPopulation
+from fault_soak.clients.population import ClientPopulation
 from fault_soak.discovery import Agent, FleetState
 from fault_soak.history import History, Lifecycle
 from fault_soak.nodes import NodeProcess
--- a/fault_soak/scenario.py
+++ b/fault_soak/scenario.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from fault_soak.clients import ClientPopulation
+from fault_soak.clients.population import ClientPopulation
 from fault_soak.discovery import Agent, FleetState
 from fault_soak.history import History
 from fault_soak.injection.environment import Environment
