--- a/fault_soak/__main__.py
+++ b/fault_soak/__main__.py
@@ -14,9 +14,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from fault_soak.drawing import draw_plan
+from fault_soak.faults import FaultKind
 from fault_soak.history import FaultEnded, History, NodeLogged
 from fault_soak.oracle import Rule, find_violations
-from fault_soak.plan import FaultKind, Plan, draw_plan
+from fault_soak.plan import Plan
 from fault_soak.proof import prove
 from fault_soak.report import Report
 from fault_soak.reporting import print_report, print_summary, report_of
--- a/fault_soak/injection/discovery.py
+++ b/fault_soak/injection/discovery.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
+from fault_soak.faults import Fault
 from fault_soak.history import History
 from fault_soak.injection.environment import Environment
-from fault_soak.plan import Fault
 
 ANNOUNCEMENT_INTERVAL_S = 0.25
 
--- a/fault_soak/injection/environment.py
+++ b/fault_soak/injection/environment.py
@@ -8,9 +8,10 @@
 
 from fault_soak.clients.population import ClientPopulation
 from fault_soak.discovery import Agent, FleetState
+from fault_soak.faults import Fault
 from fault_soak.history import History, Lifecycle
 from fault_soak.nodes import NodeProcess
-from fault_soak.plan import Fault, Plan
+from fault_soak.plan import Plan
 from fault_soak.servers import StubServer
 
 ALSO_HIT_PROBABILITY = 0.3  # of every other server, to be hit by the fault of a server as well
--- a/fault_soak/injection/injector.py
+++ b/fault_soak/injection/injector.py
@@ -6,19 +6,16 @@
 from functools import partial
 from typing import TypeAlias
 
+from fault_soak.faults import AIMED_CLIENT_KINDS, NODE_KINDS, SERVER_KINDS, Fault, FaultKind
 from fault_soak.history import FaultBegan, FaultEnded, History
 from fault_soak.injection import clients, discovery, links, nodes, reloads, servers, system_calls
 from fault_soak.injection.environment import Environment
-from fault_soak.plan import NODE_KINDS, SERVER_KINDS, Fault, FaultKind
 from fault_soak.proxy import LinkState
 from fault_soak.servers import Misbehaviour
 from fault_soak.shim import Failure
 
 Injector: TypeAlias = Callable[[Environment, Fault], Awaitable[int | None]]
 
-AIMED_CLIENT_KINDS = frozenset({FaultKind.CLIENTS_CONNECTION_BURST, FaultKind.CLIENTS_PIPELINE})
-"""Faults of clients that are aimed at one node."""
-
 INJECTORS: dict[FaultKind, Injector] = {
     FaultKind.NODE_TERM: nodes.terminate,
     FaultKind.NODE_KILL: nodes.kill,
--- a/fault_soak/injection/links.py
+++ b/fault_soak/injection/links.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
+from fault_soak.faults import Fault
 from fault_soak.injection.environment import Environment
-from fault_soak.plan import Fault
 from fault_soak.proxy import LinkState
 
 
--- a/fault_soak/injection/nodes.py
+++ b/fault_soak/injection/nodes.py
@@ -5,9 +5,10 @@
 import asyncio
 import signal
 
+from fault_soak.faults import Fault
 from fault_soak.history import History
 from fault_soak.injection.environment import Environment
-from fault_soak.plan import Fault, Plan
+from fault_soak.plan import Plan
 from fault_soak.servers import Misbehaviour, StubServer
 
 KILL_GRACE_S = 0.7
--- a/fault_soak/injection/reloads.py
+++ b/fault_soak/injection/reloads.py
@@ -6,9 +6,9 @@
 import signal
 
 from fault_soak.discovery import Agent
+from fault_soak.faults import Fault
 from fault_soak.injection.environment import Environment
 from fault_soak.nodes import NodeProcess
-from fault_soak.plan import Fault
 
 OLD_AGENT_CLOSES_S = 1.0
 REST_OF_FILE_DELAY_S = 0.05
--- a/fault_soak/injection/servers.py
+++ b/fault_soak/injection/servers.py
@@ -5,9 +5,9 @@
 import asyncio
 import time
 
+from fault_soak.faults import Fault
 from fault_soak.history import Lifecycle
 from fault_soak.injection.environment import Environment
-from fault_soak.plan import Fault
 from fault_soak.servers import Misbehaviour, StubServer
 
 DRAIN_TO_DELETED_S = (0.5, 2.0)
--- a/fault_soak/injection/system_calls.py
+++ b/fault_soak/injection/system_calls.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
+from fault_soak.faults import Fault
 from fault_soak.injection.environment import Environment
 from fault_soak.injection.reloads import move_discovery
-from fault_soak.plan import Fault
 from fault_soak.shim import ERRORS, Failure
 
 CLOCK_STEP_S = 3600
--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from fault_soak.faults import FaultKind
 from fault_soak.oracle import Rule
-from fault_soak.plan import FaultKind
 
 
 @dataclass(frozen=True, slots=True)
--- a/fault_soak/oracle/answers.py
+++ b/fault_soak/oracle/answers.py
@@ -5,11 +5,11 @@
 import signal
 from collections.abc import Iterator
 
+from fault_soak.faults import FaultKind
 from fault_soak.history import RequestSent, ResponseMissing, ResponseReceived
 from fault_soak.oracle.tolerances import LATE_ALLOWANCE_S
 from fault_soak.oracle.view import HistoryView, incarnation_of
 from fault_soak.oracle.violations import Rule, Violation
-from fault_soak.plan import FaultKind
 from fault_soak.servers import served_body
 from fault_soak.settings import DeduplicationScope, Idempotency
 
--- a/fault_soak/oracle/logs.py
+++ b/fault_soak/oracle/logs.py
@@ -5,10 +5,10 @@
 import re
 from collections.abc import Iterator
 
+from fault_soak.faults import SERVER_KINDS, FaultKind
 from fault_soak.history import AttemptReceived, NodeExited, NodeLogged, NodeStarted
 from fault_soak.oracle.view import HistoryView, IncarnationId, incarnation_of
 from fault_soak.oracle.violations import Rule, Violation
-from fault_soak.plan import SERVER_KINDS, FaultKind
 
 CONNECT_EJECTION = re.compile(r"endpoint_ejected .*outcome=connect_failed")
 WRITTEN_COUNT = re.compile(r"node_counters .*\bwritten=(\d+)")
--- a/fault_soak/oracle/nodes.py
+++ b/fault_soak/oracle/nodes.py
@@ -7,11 +7,11 @@
 from collections import defaultdict
 from collections.abc import Iterator
 
+from fault_soak.faults import SERVER_KINDS, FaultKind
 from fault_soak.history import NodeExited, NodeMeasured, NodeStarted, RequestSent, ResponseReceived
 from fault_soak.nodes import MEMORY_MB
 from fault_soak.oracle.view import HistoryView, IncarnationId, incarnation_of
 from fault_soak.oracle.violations import Rule, Violation
-from fault_soak.plan import SERVER_KINDS, FaultKind
 
 READY_WITHIN_S = 10.0
 STARVED_S = 4.0
--- a/fault_soak/oracle/view.py
+++ b/fault_soak/oracle/view.py
@@ -8,6 +8,7 @@
 from typing import NamedTuple, TypeVar
 
 from fault_soak.endpoints import ServerLocation
+from fault_soak.faults import FaultKind
 from fault_soak.history import (
     AttemptDone,
     AttemptReceived,
@@ -24,7 +25,7 @@
     RequestSent,
 )
 from fault_soak.oracle.tolerances import MAX_LAG_ALLOWANCE_S, PAUSE_ALLOWANCE_S
-from fault_soak.plan import FaultKind, Plan
+from fault_soak.plan import Plan
 from fault_soak.result import ScenarioResult
 from fault_soak.settings import RequestClass, Settings
 
--- a/fault_soak/subprocesses.py
+++ b/fault_soak/subprocesses.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from fault_soak.plan import FaultKind
+from fault_soak.faults import FaultKind
 from fault_soak.report import SOAK_FAILED, Report, failed_report
 from fault_soak.serialization import report_from_json
 
--- a/tests/fault_soak/test_injection.py
+++ b/tests/fault_soak/test_injection.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from fault_soak.faults import FaultKind
 from fault_soak.injection.injector import INJECTORS
-from fault_soak.plan import FaultKind
 
 
 def test_every_kind_of_fault_has_an_injector() -> None:
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from fault_soak.drawing import draw_plan
 from fault_soak.history import (
     AttemptDone,
     AttemptReceived,
@@ -30,7 +31,7 @@
     ServerStarted,
 )
 from fault_soak.oracle import Rule, find_violations
-from fault_soak.plan import Plan, draw_plan
+from fault_soak.plan import Plan
 from fault_soak.result import ScenarioResult
 from fault_soak.servers import served_body
 from fault_soak.settings import DeduplicationScope, Idempotency, RequestClass
--- a/tests/fault_soak/test_plan.py
+++ b/tests/fault_soak/test_plan.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from fault_soak.plan import ALL_PAIRS, SCENARIO_S, FaultKind, draw_plan
+from fault_soak.drawing import ALL_PAIRS, draw_plan
+from fault_soak.faults import FaultKind
+from fault_soak.plan import SCENARIO_S
 
 
 def test_plan_depends_on_its_seed_alone() -> None:
--- a/tests/fault_soak/test_serialization.py
+++ b/tests/fault_soak/test_serialization.py
@@ -4,9 +4,9 @@
 
 import json
 
+from fault_soak.drawing import draw_plan
 from fault_soak.endpoints import EndpointList, EndpointRow, ServerLocation
 from fault_soak.history import Lifecycle
-from fault_soak.plan import draw_plan
 from fault_soak.report import Report
 from fault_soak.serialization import (
     endpoint_list_to_json,
--- a/tests/fault_soak/test_short_play.py
+++ b/tests/fault_soak/test_short_play.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from fault_soak.drawing import draw_plan
 from fault_soak.oracle import find_violations
-from fault_soak.plan import draw_plan
 from fault_soak.scenario import run_scenario
 
 ROOT = Path(__file__).parent.parent.parent
