--- a/tests/fault_soak/test_plan.py
+++ b/tests/fault_soak/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans are drawn from their seeds alone, and consecutive seeds meet every pair of faults."""
+"""Plans are drawn from their seeds alone, and consecutive seeds cover every pair of kinds of faults."""
 
 from __future__ import annotations
 
