--- a/fault_soak/discovery.py
+++ b/fault_soak/discovery.py
@@ -1,4 +1,4 @@
-"""Stub discovery: one state of the fleet, and an agent of each node that passes it on, late or never."""
+"""Stub discovery: the state of the fleet, and an agent for each node that forwards it, late or never."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 import contextlib
 import json
 import random
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 
+from fault_soak.endpoints import EndpointList, EndpointRow
 from fault_soak.history import EndpointNotified, History, Lifecycle
 from fault_soak.http import read_message
 from fault_soak.proxy import HOST, reset
+from fault_soak.serialization import endpoint_list_to_json
 
 HEARTBEAT_S = 2.0
 SILENT_WATCH_NOTIFIED_S = 6.0
@@ -19,47 +21,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of the list: the row as it is from this generation on."""
+    """One change of the endpoint list: the row of one server from this generation on."""
 
     generation: int
-    row: dict[str, object]
-
-    @property
-    def server(self) -> str:
-        """The server that it is about."""
-        return str(self.row["instanceId"])
-
-    @property
-    def lifecycle(self) -> Lifecycle:
-        """The server's state from here on."""
-        return Lifecycle(str(self.row["lifecycle"]))
+    row: EndpointRow
 
 
 @dataclass(slots=True)
 class FleetState:
-    """What discovery knows: every change so far, in order."""
+    """What discovery knows: all changes so far, in order."""
 
     changes: list[Change] = field(default_factory=list)
 
-    def announce(self, row: dict[str, object], lifecycle: Lifecycle | None = None) -> Change:
+    def announce(self, row: EndpointRow, lifecycle: Lifecycle | None = None) -> Change:
         """Record a change of one server."""
-        state = row if lifecycle is None else {**row, "lifecycle": lifecycle.value}
+        state = row if lifecycle is None else replace(row, lifecycle=lifecycle)
         change = Change(len(self.changes) + 1, state)
         self.changes.append(change)
         return change
 
-    def whole_list(self, generation: int) -> dict[str, object]:
+    def complete_list(self, generation: int) -> EndpointList:
         """The complete list as of a generation."""
-        rows: dict[str, dict[str, object]] = {}
+        rows: dict[str, EndpointRow] = {}
         for change in self.changes[:generation]:
-            rows[change.server] = change.row
-        listed = [row for row in rows.values() if row["lifecycle"] != "DELETED"]
-        return {"generation": generation, "reset": True, "instances": listed}
+            rows[change.row.server] = change.row
+        listed = tuple(row for row in rows.values() if row.lifecycle is not Lifecycle.DELETED)
+        return EndpointList(generation, complete=True, rows=listed)
+
+    def changes_since(self, known: int, generation: int) -> EndpointList:
+        """The rows that changed after one generation, up to another."""
+        rows = tuple(change.row for change in self.changes[known:generation])
+        return EndpointList(generation, complete=False, rows=rows)
 
 
 @dataclass(slots=True)
 class Agent:
-    """The agent of one node: holds a generation, and serves watches at its present address."""
+    """The agent of one node, which serves watches at its present address.
+
+    Attributes:
+        node: the node's name.
+        fleet: what discovery knows.
+        history: where notifications are recorded.
+        rng: the source of its random choices.
+        pushed: the node is sent changes as they come; otherwise it polls.
+        generation: the last generation that the agent has received.
+        down: it receives nothing, and serves no watch.
+        pieces: it sends lists indented and cut in two.
+        port: its present port.
+        fired: how often a fault of it took effect.
+        notified_from: no change counts as notified before this time.
+    """
 
     node: str
     fleet: FleetState
@@ -71,7 +82,7 @@
     pieces: bool = False
     port: int = 0
     fired: int = 0
-    notified_from: float = 0.0  # nothing counts as notified before
+    notified_from: float = 0.0
     _server: asyncio.Server | None = None
     _watches: set[asyncio.StreamWriter] = field(default_factory=set)
     _silenced: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -83,49 +94,49 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def move(self) -> asyncio.Server | None:
-        """Listen at a new address; gives the old listener, which is to be closed later."""
+        """Listen at a new address; returns the old listener, for the caller to close later."""
         old = self._server
-        self._silenced |= self._watches  # what they led to is told nothing any more
+        self._silenced |= self._watches  # watches at the old address receive nothing any more
         await self.open()
         self.notified_from = History.now() + MOVED_NOTIFIED_S
         return old
 
     def close(self) -> None:
-        """Stop."""
+        """Stop listening, and close all watches."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._watches):
             writer.close()
 
     def receive(self, generation: int) -> None:
-        """The agent gets everything up to a generation; it learns nothing while discovery is down."""
+        """Receive all changes up to a generation; has no effect while discovery is down."""
         if self.down or generation <= self.generation:
             return
-        news = self.fleet.changes[self.generation : generation]
+        changes = self.fleet.changes[self.generation : generation]
         self.generation = generation
         now = History.now()
         late = 0.0 if self.pushed else SILENT_WATCH_NOTIFIED_S
         notified_at = max(now + late, self.notified_from)
-        for change in news:
+        for change in changes:
             self._record(notified_at, change)
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
     def set_down(self, down: bool) -> None:
-        """Discovery is lost, or is back, with all that has changed meanwhile."""
+        """Lose discovery, or get it back with all changes since."""
         self.down = down
         if not down:
             self.receive(len(self.fleet.changes))
 
     def silence_watches(self) -> None:
-        """The watches that are open now get nothing any more."""
+        """Send nothing any more on the watches that are open now."""
         self.fired += len(self._watches)
         self._silenced |= self._watches
-        # What a silent watch misses counts as notified later.
+        # A node notices a silent watch late, so changes count as notified later.
         self.notified_from = max(self.notified_from, History.now() + SILENT_WATCH_NOTIFIED_S)
 
     def reset_watches(self) -> None:
-        """The watches that are open now are reset."""
+        """Reset the watches that are open now."""
         self.fired += len(self._watches)
         for writer in list(self._watches):
             reset(writer)
@@ -157,7 +168,7 @@
                 await asyncio.sleep(0.02)
                 continue
             if first or generation > known:
-                await self._tell(writer, self._news(known, generation, first=first))
+                await self._send(writer, self._next_list(known, generation, first=first))
                 self._record_written(known, generation)
                 known, first = generation, False
             elif not changed.is_set():
@@ -167,21 +178,22 @@
                     _write_chunk(writer, b"\n")
 
     def _record_written(self, known: int, generation: int) -> None:
-        """What has been written to a node counts as notified at once."""
+        """Record that a node was notified of all that has been written to it."""
         for change in self.fleet.changes[known:generation]:
             self._record(History.now(), change)
 
     def _record(self, at: float, change: Change) -> None:
-        self.history.add(EndpointNotified(at, self.node, change.server, change.lifecycle, change.generation))
+        row = change.row
+        self.history.add(EndpointNotified(at, self.node, row.server, row.lifecycle, change.generation))
 
-    def _news(self, known: int, generation: int, *, first: bool) -> dict[str, object]:
+    def _next_list(self, known: int, generation: int, *, first: bool) -> EndpointList:
         if first and (known == 0 or self.rng.random() < 0.5):
-            return self.fleet.whole_list(generation)
-        rows = [change.row for change in self.fleet.changes[known:generation]]
-        return {"generation": generation, "reset": False, "instances": rows}
+            return self.fleet.complete_list(generation)
+        return self.fleet.changes_since(known, generation)
 
-    async def _tell(self, writer: asyncio.StreamWriter, news: dict[str, object]) -> None:
-        text = json.dumps(news, indent=2 if self.pieces else None).encode() + b"\n"
+    async def _send(self, writer: asyncio.StreamWriter, endpoints: EndpointList) -> None:
+        content = endpoint_list_to_json(endpoints)
+        text = json.dumps(content, indent=2 if self.pieces else None).encode() + b"\n"
         if not self.pieces:
             _write_chunk(writer, text)
             return
--- a/fault_soak/nodes.py
+++ b/fault_soak/nodes.py
@@ -1,4 +1,4 @@
-"""Real node processes: started by the deploy file's command, signalled, restarted and watched."""
+"""Real node processes, which are started with the deploy file's command and observed."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 from zlib import crc32
 
+from fault_soak.endpoints import EndpointList
 from fault_soak.history import (
     History,
     NodeExited,
@@ -26,6 +26,8 @@
 )
 from fault_soak.http import read_message
 from fault_soak.proxy import HOST
+from fault_soak.serialization import endpoint_list_to_json, settings_to_json
+from fault_soak.settings import Settings
 from fault_soak.shim import ShimControl
 
 MEMORY_MB = 192
@@ -41,37 +43,37 @@
 
     Attributes:
         name: the node's name.
-        tree: the checkout that is played.
+        tree: the checkout that it runs from.
         directory: where its configuration file lies.
         port: where it listens.
-        settings: the settings in their documented form.
+        settings: its settings.
         descriptors: its descriptor limit.
-        discovery_address: gives the address of its agent.
-        known_list: gives the cached list for a start.
-        history: where its life is recorded.
+        discovery_address: returns the address of its agent.
+        known_list: returns the cached endpoint list for a start.
+        history: where its starts, ends, log and use of resources are recorded.
         shim: its failing system calls, None without a compiler.
         library: the library to load, None without a compiler.
         incarnation: counts its processes.
-        admitted: the front sends it new connections.
+        admitted: clients open new connections to it.
         process: its present process, or its last.
-        log_may_flow: its log is read.
+        log_read_allowed: is set while the fault test reads its log.
     """
 
     name: str
     tree: Path
     directory: Path
     port: int
-    settings: dict[str, Any]
+    settings: Settings
     descriptors: int
     discovery_address: Callable[[], str]
-    known_list: Callable[[], dict[str, object]]
+    known_list: Callable[[], EndpointList]
     history: History
     shim: ShimControl | None = None
     library: Path | None = None
     incarnation: int = 0
     admitted: bool = False
     process: asyncio.subprocess.Process | None = None
-    log_may_flow: asyncio.Event = field(default_factory=asyncio.Event)
+    log_read_allowed: asyncio.Event = field(default_factory=asyncio.Event)
     _watchers: set[asyncio.Task[None]] = field(default_factory=set)
 
     @property
@@ -85,15 +87,15 @@
         return self.process is not None and self.process.returncode is None
 
     def write_configuration(self, *, cut: bool = False) -> None:
-        """Write the configuration file as of now; cut leaves half of it out."""
+        """Write the present configuration to its file; with cut, only the first half of it."""
         content = {
             "name": self.name,
             "listen": self.address,
             "discovery": self.discovery_address(),
             "seed": f"{crc32(f'{self.name}/{self.incarnation}'.encode()):x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": self.descriptors},
-            "known": self.known_list(),
-            "settings": self.settings,
+            "known": endpoint_list_to_json(self.known_list()),
+            "settings": settings_to_json(self.settings),
         }
         text = json.dumps(content)
         path = self.directory / "config.json"
@@ -105,7 +107,7 @@
         temporary.replace(path)
 
     async def start(self) -> None:
-        """Start a process and watch it."""
+        """Start a process and observe it."""
         self.incarnation += 1
         self.write_configuration()
         environment = {
@@ -118,7 +120,7 @@
         if self.shim is not None and self.library is not None:
             environment |= {"SOAK_SHIM": str(self.shim.path), "LD_PRELOAD": str(self.library)}
         run = tomllib.loads((self.tree / "deploy" / "balancer.toml").read_text())["run"]
-        self.log_may_flow.set()
+        self.log_read_allowed.set()
         self.process = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
@@ -137,13 +139,13 @@
             task.add_done_callback(self._watchers.discard)
 
     def _shrink_log_pipe(self) -> None:
-        """A small pipe is full after few lines, as a large one is after a longer while."""
+        """Make the pipe of the log small, so that few lines fill it."""
         assert self.process is not None and self.process.stderr is not None
         pipe = self.process.stderr._transport.get_extra_info("pipe")  # type: ignore[attr-defined]
         fcntl.fcntl(pipe.fileno(), fcntl.F_SETPIPE_SZ, LOG_PIPE_BYTES)
 
     def signal(self, number: int) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal, if a process runs."""
         if self.alive and self.process is not None:
             self.history.add(NodeSignalled(History.now(), self.name, self.incarnation, number))
             with contextlib.suppress(ProcessLookupError):
@@ -156,7 +158,7 @@
             transport.close()
 
     async def exited(self, within_s: float) -> bool:
-        """Wait for its end; returns whether it came in time."""
+        """Wait for the end of the process; returns whether it came in time."""
         if self.process is None:
             return True
         try:
@@ -166,7 +168,7 @@
         return True
 
     async def kill(self) -> None:
-        """End it at once."""
+        """End the process at once."""
         if self.alive:
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGKILL)
@@ -176,11 +178,11 @@
         process, incarnation = self.process, self.incarnation
         assert process is not None and process.stderr is not None
         while True:
-            await self.log_may_flow.wait()
+            await self.log_read_allowed.wait()
             try:
                 line = await process.stderr.readline()
             except ValueError:
-                continue  # a line over the limit
+                continue  # the line exceeds the limit
             if not line:
                 return
             text = line.decode(errors="replace").rstrip()[:LOG_LINE_MAX]
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from fault_soak.drawing import draw_plan
 from fault_soak.history import (
     AttemptDone,
     AttemptReceived,
@@ -29,10 +30,11 @@
     ResponseReceived,
     ServerStarted,
 )
-from fault_soak.oracle import Oracle, Rule
-from fault_soak.plan import Plan, draw_plan
-from fault_soak.play import PlayResult
+from fault_soak.oracle import Rule, find_violations
+from fault_soak.plan import Plan
+from fault_soak.result import ScenarioResult
 from fault_soak.servers import served_body
+from fault_soak.settings import DeduplicationScope, Idempotency, RequestClass
 
 ADDRESS = "127.0.0.1:8000"
 START = NodeStarted(0.0, "n0", 1, ADDRESS)
@@ -41,47 +43,63 @@
 
 def _plan() -> Plan:
     plan = draw_plan(1)
-    limits = {
-        **plan.settings["policyLimits"],
-        "tryLimit": 2,
-        "mayDuplicate": False,
-        "retryAfter": True,
-        "maxRetryAfterMs": 1200.0,
-    }
-    guarantees = {
-        **plan.settings["guarantees"],
-        "stopSendingWithinMs": 1000.0,
-        "coldMs": 4000.0,
-        "startCapacity": 0.1,
-        "fallMultiple": 3.0,
-        "overloadForMs": 1000.0,
-    }
-    classes = [
-        {"name": "look", "effect": "safe", "deadlineMs": 1000.0},
-        {"name": "move", "effect": "keyed", "group": "zone", "windowMs": 300.0, "deadlineMs": 1000.0},
-        {"name": "book", "effect": "unsafe", "deadlineMs": 1000.0},
-    ]
-    settings = {
-        **plan.settings,
-        "policyLimits": limits,
-        "guarantees": guarantees,
-        "profiles": classes,
-    }
-    return replace(plan, settings=settings, descriptors=64, work_ms=10.0, server_slots=1, faults=())
+    limits = replace(
+        plan.settings.limits,
+        max_attempts=2,
+        hedging_allowed=False,
+        retry_after_allowed=True,
+        max_retry_after_ms=1200.0,
+    )
+    guarantees = replace(
+        plan.settings.guarantees,
+        drain_grace_ms=1000.0,
+        warm_up_ms=4000.0,
+        initial_capacity=0.1,
+        overload_multiple=3.0,
+        overload_window_ms=1000.0,
+    )
+    keyed = replace(
+        _request_class("move", Idempotency.KEYED),
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_ms=300.0,
+    )
+    classes = (
+        _request_class("look", Idempotency.IDEMPOTENT),
+        keyed,
+        _request_class("book", Idempotency.NON_IDEMPOTENT),
+    )
+    settings = replace(plan.settings, limits=limits, guarantees=guarantees, classes=classes)
+    return replace(
+        plan,
+        settings=settings,
+        server_count=4,
+        descriptors=64,
+        work_ms=10.0,
+        server_slots=1,
+        faults=(),
+    )
+
+
+def _request_class(name: str, idempotency: Idempotency) -> RequestClass:
+    return RequestClass(
+        name, idempotency, latency_objective_ms=400.0, deadline_ms=1000.0, priority_weight=1.0
+    )
 
 
 def _broken(*events: HistoryEvent) -> set[Rule]:
     history = History([START, READY, *events])
-    result = PlayResult(_plan(), history, worst_lag_s=0.0, shim_loaded=True)
-    return {violation.rule for violation in Oracle(result).violations()}
+    result = ScenarioResult(_plan(), history, worst_lag_s=0.0, shim_loaded=True)
+    return {violation.rule for violation in find_violations(result)}
 
 
 def _sent(class_name: str = "look", at: float = 1.0) -> RequestSent:
     return RequestSent(at, "r", "n0", 1, class_name, 1.0)
 
 
-def _received(at: float, server: str = "s0", connection: int = 1, told_s: float = 0.5) -> AttemptReceived:
-    return AttemptReceived(at, at, server, connection, ADDRESS, "r", told_s)
+def _received(
+    at: float, server: str = "s0", connection: int = 1, forwarded_s: float = 0.5
+) -> AttemptReceived:
+    return AttemptReceived(at, at, server, connection, ADDRESS, "r", forwarded_s)
 
 
 def _done(at: float, result: AttemptResult, server: str = "s0", connection: int = 1) -> AttemptDone:
@@ -140,8 +158,8 @@
         pytest.param(
             [_sent("book"), _received(1.1), _done(1.1, AttemptResult.REJECTED), _answer(503)],
             [_sent("book"), _received(1.1), _done(1.1, AttemptResult.ABANDONED), _answer(503)],
-            Rule.REFUSED_AFTER_RUN,
-            id="refused after a run",
+            Rule.REJECTED_AFTER_RUN,
+            id="rejected after a run",
         ),
         pytest.param(
             [_sent(), _answer(503)], [_sent(), _answer(503, after=None)], Rule.RETRY_AFTER, id="no wait"
@@ -174,16 +192,16 @@
             id="client gone",
         ),
         pytest.param(
-            [_sent(), _received(1.1, told_s=1.0)],
-            [_sent(), _received(1.1, told_s=1.1)],
-            Rule.DEADLINE_TOLD,
-            id="told too much",
+            [_sent(), _received(1.1, forwarded_s=1.0)],
+            [_sent(), _received(1.1, forwarded_s=1.1)],
+            Rule.FORWARDED_DEADLINE,
+            id="forwarded too much",
         ),
         pytest.param(
-            [_sent(), _received(1.1, told_s=0.001)],
-            [_sent(), _received(1.1, told_s=-0.001)],
-            Rule.DEADLINE_TOLD,
-            id="told nothing",
+            [_sent(), _received(1.1, forwarded_s=0.001)],
+            [_sent(), _received(1.1, forwarded_s=-0.001)],
+            Rule.FORWARDED_DEADLINE,
+            id="forwarded no time",
         ),
         pytest.param(
             [_sent(), _received(1.1), _answer(body=served_body("s0", "r"))],
@@ -235,7 +253,7 @@
         ),
     ],
 )
-def test_rule_tells_kept_from_broken(
+def test_rule_distinguishes_kept_from_broken(
     kept: list[HistoryEvent], broken: list[HistoryEvent], rule: Rule
 ) -> None:
     assert rule not in _broken(*kept)
--- a/tests/fault_soak/test_plan.py
+++ b/tests/fault_soak/test_plan.py
@@ -1,8 +1,10 @@
-"""Plans are drawn from their seeds alone, and consecutive seeds meet every pair of faults."""
+"""Plans are drawn from their seeds alone, and consecutive seeds cover every pair of kinds of faults."""
 
 from __future__ import annotations
 
-from fault_soak.plan import ALL_PAIRS, PLAY_S, FaultKind, draw_plan
+from fault_soak.drawing import ALL_PAIRS, draw_plan
+from fault_soak.faults import FaultKind
+from fault_soak.plan import SCENARIO_S
 
 
 def test_plan_depends_on_its_seed_alone() -> None:
@@ -20,6 +22,6 @@
     assert len(met) >= 0.95 * len(ALL_PAIRS)
 
 
-def test_faults_end_within_the_play() -> None:
+def test_faults_end_within_the_scenario() -> None:
     for seed in range(50):
-        assert all(fault.begin_s + fault.length_s <= PLAY_S for fault in draw_plan(seed).faults)
+        assert all(fault.begin_s + fault.length_s <= SCENARIO_S for fault in draw_plan(seed).faults)
