--- a/load_balancer/proxy/downstream/connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -15,7 +15,7 @@
 from load_balancer.proxy.event_loop.socket_poll import poll_socket
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError, HttpReader
 from load_balancer.proxy.observability.counters import CloseReason, NodeCounters
-from load_balancer.proxy.observability.rule_guard import Rule, RuleMonitor
+from load_balancer.proxy.observability.rule_monitor import Rule, RuleMonitor
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/proxy/downstream/server.py
+++ b/load_balancer/proxy/downstream/server.py
@@ -15,7 +15,7 @@
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError
 from load_balancer.proxy.observability.counters import CloseReason, NodeCounters
-from load_balancer.proxy.observability.rule_guard import RuleMonitor
+from load_balancer.proxy.observability.rule_monitor import RuleMonitor
 
 # While a connection is not read only a poll of its socket reveals that the client has left.  Each attempt
 # polls for itself before it begins; this ends what waits without an attempt to begin.
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -53,8 +53,9 @@
 from load_balancer.proxy.http.rendering import render_request_head
 from load_balancer.proxy.lifecycle import GracefulShutdown, Readiness, handle_signals
 from load_balancer.proxy.observability.counters import CounterReport, NodeCounters
-from load_balancer.proxy.observability.rule_guard import RequestGuard, Rule, RuleMonitor
+from load_balancer.proxy.observability.rule_monitor import Rule, RuleMonitor
 from load_balancer.proxy.reload import ConfigurationReload
+from load_balancer.proxy.request_guard import RequestGuard
 from load_balancer.proxy.request_table import Attempt, PendingRequest, RequestTable
 from load_balancer.proxy.upstream.health_checks import HealthChecker
 from load_balancer.proxy.upstream.pools import UpstreamPools
--- a/load_balancer/proxy/observability/counters.py
+++ b/load_balancer/proxy/observability/counters.py
@@ -12,7 +12,7 @@
 from load_balancer.events import Outcome
 from load_balancer.logging_setup import UNLIMITED
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
-from load_balancer.proxy.observability.rule_guard import RuleMonitor
+from load_balancer.proxy.observability.rule_monitor import RuleMonitor
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/load_balancer/proxy/observability/rule_monitor.py
@@ -0,0 +1,57 @@
+"""The record of rule violations: which rule was violated, how often, and one log line for each violation."""
+
+from __future__ import annotations
+
+import logging
+from collections import Counter
+from enum import Enum
+
+log = logging.getLogger(__name__)
+
+
+class Rule(Enum):
+    """A rule that the node must not violate, named by the violation."""
+
+    REPEATED = "repeated"
+    """A non-idempotent request may have run already."""
+
+    OUTSIDE_WINDOW = "outside_window"
+    """The deduplication window of the idempotency key is over."""
+
+    OUTSIDE_SCOPE = "outside_scope"
+    """The endpoint shares no idempotency keys with the endpoint that may have run the request."""
+
+    CONCURRENT = "concurrent"
+    """An earlier attempt is in flight, and the settings forbid hedging."""
+
+    ATTEMPT_LIMIT = "attempt_limit"
+    """The settings allow no more attempts."""
+
+    NOT_SERVING = "not_serving"
+    """The endpoint is not listed as serving."""
+
+    FINISHED = "finished"
+    """The request has been answered, or its client has left."""
+
+    REJECTED_AFTER_RUN = "rejected_after_run"
+    """A rejection would say that a retry is safe, but the request may have run."""
+
+    CLOSED_UNANSWERED = "closed_unanswered"
+    """The node closed a connection on which an accepted request was not answered."""
+
+
+class RuleMonitor:
+    """Counts and logs rule violations.
+
+    Attributes:
+        violations: how often each rule was violated, or would have been without the last check.
+    """
+
+    def __init__(self) -> None:
+        self.violations: Counter[Rule] = Counter()
+
+    def report(self, rule: Rule, **fields: object) -> None:
+        """Record one violation; the fields say where it was found."""
+        self.violations[rule] += 1
+        text = " ".join(f"{name}={value}" for name, value in fields.items())
+        log.error("invariant_violated rule=%s %s", rule.value, text)
--- a/load_balancer/proxy/observability/rule_guard.py
+++ b/load_balancer/proxy/request_guard.py
@@ -1,62 +1,27 @@
-"""The last check before a request is written or rejected, on a record of its own.
+"""The last check before an attempt is written or a request is rejected.
 
-The policy decides by its own records; this one is kept where the bytes leave the node, from what was written
-and how it ended.  Where the two disagree one of them has a fault: the attempt is not written, the rejection
-is a failure instead, and the violation is counted and logged.
+The policy decides by its own records.  The guard keeps an independent record where the bytes leave the
+node: which attempts were written and how they ended.  If the two disagree, one of them has a fault.  The
+caller then withholds the attempt, or fails the request instead of rejecting it, and reports the violation.
 """
 
 from __future__ import annotations
 
-import logging
-from collections import Counter
 from dataclasses import dataclass
-from enum import Enum
 
 from load_balancer.events import NOT_EXECUTED, Endpoint, Outcome
+from load_balancer.proxy.observability.rule_monitor import Rule
 from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-log = logging.getLogger(__name__)
-
-
-class Rule(Enum):
-    """What an attempt or an answer would have broken."""
-
-    REPEATED = "repeated"
-    """A request that must not run twice may have run."""
-
-    OUTSIDE_WINDOW = "outside_window"
-    """The servers may have forgotten the idempotency key."""
-
-    OUTSIDE_SCOPE = "outside_scope"
-    """The server does not share its idempotency keys with the one that may have run the request."""
-
-    CONCURRENT = "concurrent"
-    """An earlier attempt is in flight, where hedging is forbidden."""
-
-    ATTEMPT_LIMIT = "attempt_limit"
-    """The settings allow no more attempts."""
-
-    NOT_SERVING = "not_serving"
-    """The endpoint is not listed as serving."""
-
-    FINISHED = "finished"
-    """The request has its answer, or its client has left."""
-
-    REJECTED_AFTER_RUN = "rejected_after_run"
-    """A rejection would say that a retry is harmless."""
-
-    CLOSED_UNANSWERED = "closed_unanswered"
-    """The node closed a connection with a request that it had accepted and not answered."""
-
 
 @dataclass(slots=True)
 class WrittenAttempt:
-    """An attempt that was written.
+    """An attempt that was written to an endpoint.
 
     Attributes:
-        endpoint: the endpoint's row in the list as it was written.
-        written_ms: when, on the node's clock.
-        outcome: how it ended; None while it is in flight.
+        endpoint: the endpoint's row in the endpoint list at the time of the write.
+        written_ms: time of the write on the node's clock.
+        outcome: how the attempt ended; None while it is in flight.
     """
 
     endpoint: Endpoint
@@ -64,12 +29,12 @@
     outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
-        """Whether its server may have executed it, or may yet."""
+        """Whether the endpoint may have executed the attempt, or may still execute it."""
         return self.outcome is None or self.outcome not in NOT_EXECUTED
 
 
 class RequestGuard:
-    """The attempts of one request that were written, and what they forbid."""
+    """Records the written attempts of one request and checks what they still allow."""
 
     def __init__(self, settings: Settings, class_index: int) -> None:
         self._settings = settings
@@ -77,7 +42,7 @@
         self._written: dict[int, WrittenAttempt] = {}
 
     def check_write(self, endpoint: Endpoint | None, now_ms: float) -> Rule | None:
-        """The rule that an attempt written to this endpoint now would break; None where it breaks none."""
+        """The rule that writing an attempt to this endpoint now would violate; None if there is none."""
         if endpoint is None:
             return Rule.NOT_SERVING
         if len(self._written) >= self._settings.max_attempts:
@@ -104,37 +69,20 @@
         return scope is DeduplicationScope.ALL or first.cell == other.cell
 
     def record_write(self, number: int, endpoint: Endpoint, now_ms: float) -> None:
-        """An attempt is being written."""
+        """Record that an attempt is being written."""
         self._written[number] = WrittenAttempt(endpoint, now_ms)
 
     def record_outcome(self, number: int, outcome: Outcome) -> None:
-        """An attempt has ended, written or not."""
+        """Record how an attempt ended; one that was not written is ignored."""
         attempt = self._written.get(number)
         if attempt is not None:
             attempt.outcome = outcome
 
     def may_reject(self) -> bool:
-        """Whether a client may be told that a retry is harmless."""
+        """Whether a retry by the client is safe, so that the request may be rejected."""
         if self._class.idempotency is Idempotency.IDEMPOTENT:
             return True
         anywhere = self._class.deduplication_scope is DeduplicationScope.ALL
         if self._class.idempotency is Idempotency.KEYED and anywhere:
             return True
         return not any(attempt.may_have_run() for attempt in self._written.values())
-
-
-class RuleMonitor:
-    """Counts and logs what the last check has found.
-
-    Attributes:
-        violations: how often each rule would have been broken, or was.
-    """
-
-    def __init__(self) -> None:
-        self.violations: Counter[Rule] = Counter()
-
-    def report(self, rule: Rule, **fields: object) -> None:
-        """Record one violation; the fields say where."""
-        self.violations[rule] += 1
-        text = " ".join(f"{name}={value}" for name, value in fields.items())
-        log.error("invariant_violated rule=%s %s", rule.value, text)
--- a/load_balancer/proxy/request_table.py
+++ b/load_balancer/proxy/request_table.py
@@ -10,7 +10,7 @@
 from load_balancer.proxy.downstream.response_slot import ResponseSlot
 from load_balancer.proxy.http.headers import REQUEST_ID
 from load_balancer.proxy.http.reader import HttpMessage
-from load_balancer.proxy.observability.rule_guard import RequestGuard
+from load_balancer.proxy.request_guard import RequestGuard
 from load_balancer.proxy.upstream.request import UpstreamRequest
 
 
