--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -43,7 +43,8 @@
     """The source that a mutation replaces is not there any more: the mutation has to follow the code."""
 
 
-SERVER = "load_balancer/proxy/node.py"
+ATTEMPTS = "load_balancer/proxy/attempts.py"
+REQUEST_HANDLER = "load_balancer/proxy/request_handler.py"
 GRACEFUL_SHUTDOWN = "load_balancer/proxy/lifecycle/graceful_shutdown.py"
 SELECTION = "load_balancer/policy/selection.py"
 RETRIES = "load_balancer/policy/retries.py"
@@ -52,8 +53,10 @@
 EVENTS = "load_balancer/events.py"
 
 WITHOUT_LAST_CHECK = (
-    Edit(SERVER, "rule = request.guard.check_write(endpoint, now_ms)", "rule = None"),
-    Edit(SERVER, "request is not None and not request.guard.may_reject()", "request is None and True"),
+    Edit(ATTEMPTS, "rule = request.guard.check_write(endpoint, now_ms)", "rule = None"),
+    Edit(
+        REQUEST_HANDLER, "request is not None and not request.guard.may_reject()", "request is None and True"
+    ),
 )
 """The node's last check stands behind several guards: it is broken with them."""
 
@@ -62,9 +65,9 @@
         "client may have left",
         frozenset({Rule.CLIENT_GONE}),
         (
-            Edit(SERVER, "request is None or request.slot.client_has_left()", "request is None"),
-            Edit(SERVER, "return not self._request.slot.client_has_left()", "return True"),
-            Edit(SERVER, "slot.on_abandoned = lambda: self._abandon(request_id)", "pass"),
+            Edit(ATTEMPTS, "request is None or request.slot.client_has_left()", "request is None"),
+            Edit(ATTEMPTS, "return not self._request.slot.client_has_left()", "return True"),
+            Edit(REQUEST_HANDLER, "slot.on_abandoned = lambda: self._abandon(request_id)", "pass"),
         ),
         frozenset(
             {FaultKind.CLIENTS_LEAVE, FaultKind.SERVER_HANG, FaultKind.SERVER_ERRORS, FaultKind.LINK_SILENT}
@@ -168,7 +171,7 @@
         frozenset({Rule.DEADLINE_TOLD}),
         (
             Edit(
-                SERVER,
+                ATTEMPTS,
                 'X-Deadline: %.3f\\r\\n\\r\\n%s" % (request.head, seconds_left, request.message.body)',
                 'X-Deadline: %.3f\\r\\n\\r\\n%s" % (request.head, seconds_left + 0.4, request.message.body)',
             ),
@@ -177,7 +180,7 @@
     Mutation(
         "no Retry-After",
         frozenset({Rule.RETRY_AFTER}),
-        (Edit(SERVER, "after_s if after_s else b", "after_s if False else b"),),
+        (Edit(REQUEST_HANDLER, "after_s if after_s else b", "after_s if False else b"),),
     ),
     Mutation(
         "reuse with unread input",
--- /dev/null
+++ b/load_balancer/proxy/attempts.py
@@ -0,0 +1,160 @@
+"""Starts the attempts of requests, checks each right before it is written, and reports its outcome."""
+
+from __future__ import annotations
+
+from load_balancer.actions import CancelAttempt, SendAttempt
+from load_balancer.events import AttemptEnded, Outcome
+from load_balancer.proxy.event_loop.clock import Clock
+from load_balancer.proxy.http.reader import HttpMessage
+from load_balancer.proxy.observability.counters import NodeCounters
+from load_balancer.proxy.observability.rule_monitor import Rule, RuleMonitor
+from load_balancer.proxy.policy_driver import PolicyDriver
+from load_balancer.proxy.request_handler import RequestHandler
+from load_balancer.proxy.request_table import Attempt, PendingRequest, RequestTable
+from load_balancer.proxy.upstream.pools import UpstreamPools
+from load_balancer.proxy.upstream.request import OutboundRequest
+
+
+class OutboundAttempt(OutboundRequest):
+    """One attempt of a client's request, as it is sent to an endpoint."""
+
+    __slots__ = ("_attempt", "_request", "_sender")
+
+    def __init__(self, sender: AttemptSender, attempt: Attempt, request: PendingRequest) -> None:
+        self._sender = sender
+        self._attempt = attempt
+        self._request = request
+
+    def render(self, seconds_left: float) -> bytes:
+        """The client's request with the time that the endpoint has left for it."""
+        request = self._request
+        return b"%sX-Deadline: %.3f\r\n\r\n%s" % (request.head, seconds_left, request.message.body)
+
+    def is_wanted(self) -> bool:
+        """Whether the client is still connected."""
+        return not self._request.slot.client_has_left()
+
+    def may_write(self) -> bool:
+        """Whether the last check allows the attempt; one that it allows is recorded as written."""
+        return self._sender.may_write(self._attempt, self._request)
+
+    def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
+        """Report the outcome to the sender."""
+        self._sender.on_attempt_ended(self._attempt, self._request, outcome, response)
+
+
+class AttemptSender:
+    """Sends the attempts that the policy decides on."""
+
+    def __init__(
+        self,
+        table: RequestTable,
+        requests: RequestHandler,
+        pools: UpstreamPools,
+        driver: PolicyDriver,
+        clock: Clock,
+        counters: NodeCounters,
+        rules: RuleMonitor,
+    ) -> None:
+        """Connect the parts.
+
+        Args:
+            table: the open requests and the attempts in flight.
+            requests: sends the responses to clients.
+            pools: the connections to endpoints.
+            driver: receives the events.
+            clock: the node's clock.
+            counters: counts written and withheld attempts and outcomes.
+            rules: records attempts that the last check has stopped.
+        """
+        self._table = table
+        self._requests = requests
+        self._pools = pools
+        self._driver = driver
+        self._clock = clock
+        self._counters = counters
+        self._rules = rules
+
+    def send(self, action: SendAttempt) -> None:
+        """Start an attempt.  It ends as NOT_SENT if the request has finished or has no time left."""
+        request = self._table.get(action.request_id)
+        if request is None or request.slot.client_has_left():
+            self._skip(action)
+            return
+        started_ms = self._clock.now()
+        attempt = Attempt(action.request_id, request.attempt_count, action.endpoint_id, started_ms)
+        request.attempt_count += 1
+        remaining_ms = request.deadline_ms - started_ms
+        if remaining_ms <= 0.0:
+            self._report_not_sent(attempt, finished=False)
+            return
+        timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms > 0 else remaining_ms
+        self._start(attempt, request, timeout_ms)
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Cancel an attempt if it is in flight."""
+        attempt = self._table.get_attempt(action.request_id, action.attempt_number)
+        if attempt is not None:
+            attempt.cancel(Outcome.CANCELLED)
+
+    def _skip(self, action: SendAttempt) -> None:
+        """Do not start an attempt of a finished request; the policy does not know of the end yet."""
+        request = self._table.finished(action.request_id)
+        number = request.attempt_count
+        request.attempt_count += 1
+        attempt = Attempt(action.request_id, number, action.endpoint_id, self._clock.now())
+        self._report_not_sent(attempt, finished=True)
+
+    def _report_not_sent(self, attempt: Attempt, *, finished: bool) -> None:
+        self._driver.handle_event(
+            AttemptEnded(
+                attempt.request_id, attempt.number, attempt.endpoint_id, Outcome.NOT_SENT, 0.0, finished
+            )
+        )
+
+    def _start(self, attempt: Attempt, request: PendingRequest, timeout_ms: float) -> None:
+        self._table.reserve(request.client_id)
+        upstream_request = self._pools.start_request(
+            attempt.endpoint_id, OutboundAttempt(self, attempt, request), timeout_ms / 1000.0
+        )
+        self._table.add_attempt(attempt, upstream_request)
+
+    def may_write(self, attempt: Attempt, request: PendingRequest) -> bool:
+        """Check an attempt right before it is written, and record it as written if the check passes."""
+        now_ms = self._clock.now()
+        endpoint = self._pools.serving_endpoint(attempt.endpoint_id)
+        rule = request.guard.check_write(endpoint, now_ms)
+        if attempt.request_id not in self._table:
+            rule = Rule.FINISHED
+        if rule is Rule.OUTSIDE_WINDOW:
+            # No fault of the policy: the connection came up too late, delayed on the node's own machine.
+            self._counters.withheld += 1
+            return False
+        if rule is not None or endpoint is None:
+            fields = {"request": request.client_id.decode(), "endpoint": attempt.endpoint_id.decode()}
+            self._rules.report(rule or Rule.NOT_SERVING, attempt=attempt.number, **fields)
+            return False
+        request.guard.record_write(attempt.number, endpoint, now_ms)
+        self._counters.written += 1
+        return True
+
+    def on_attempt_ended(
+        self, attempt: Attempt, request: PendingRequest, outcome: Outcome, response: HttpMessage | None
+    ) -> None:
+        """Send the response if it is the first one, and report the outcome to the policy."""
+        self._counters.outcomes[outcome] += 1
+        request.guard.record_outcome(attempt.number, outcome)
+        self._table.release(request.client_id)
+        request_id = attempt.request_id
+        self._table.remove_attempt(attempt)
+        served: PendingRequest | None = None
+        if outcome is Outcome.OK and response is not None:
+            served = self._requests.finish_with_response(request_id, response)
+        elapsed_ms = self._clock.now() - attempt.started_ms
+        finished = request_id not in self._table
+        self._driver.handle_event(
+            AttemptEnded(request_id, attempt.number, attempt.endpoint_id, outcome, elapsed_ms, finished)
+        )
+        if served is not None:
+            # After the event, so that the policy sees the outcome that ended the request before the others.
+            self._requests.withdraw_unsent(request_id, served)
--- a/tests/proxy/event_loop/test_loop_iterations.py
+++ b/tests/proxy/event_loop/test_loop_iterations.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from load_balancer.proxy.node import BUDGET_RESERVE_MS
+from load_balancer.proxy.request_handler import BUDGET_RESERVE_MS
 from tests.proxy.async_support import TIMEOUT_S, async_test, until
 from tests.proxy.blocking_client import blocking_client
 from tests.proxy.node_environment import running_node
