--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -10,7 +10,8 @@
 import uvloop
 
 from load_balancer.logging_setup import configure_logging
-from load_balancer.proxy.configuration import ConfigurationError, NodeConfiguration, load_configuration
+from load_balancer.proxy.configuration import NodeConfiguration, load_configuration
+from load_balancer.proxy.configuration_values import ConfigurationError
 from load_balancer.proxy.node import Node
 
 EXIT_OK = 0
--- /dev/null
+++ b/load_balancer/proxy/configuration_file.py
@@ -0,0 +1,86 @@
+"""Reads the file that NODE_CONFIG names, with retries while that may help."""
+
+from __future__ import annotations
+
+import errno
+import json
+import os
+import time
+from dataclasses import dataclass
+from typing import Any
+
+from load_balancer.proxy.configuration_values import ConfigurationError
+
+# The pauses between the reads at a start, of a file that is half written or cannot be opened for a moment.
+_HALF_WRITTEN_PAUSES_S = (0.05, 0.1, 0.2, 0.4)
+_TRANSIENT_PAUSES_S = (*_HALF_WRITTEN_PAUSES_S, 0.8, 1.0, 1.0, 1.0)
+_TRANSIENT_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.EAGAIN})
+
+
+class ConfigurationFileError(ConfigurationError):
+    """A configuration file that cannot be read.
+
+    Attributes:
+        retry_pauses_s: the pauses after which reading it again may succeed; empty if retries cannot help.
+    """
+
+    def __init__(self, path: str, error: Exception) -> None:
+        super().__init__("NODE_CONFIG", f"{path} cannot be read: {error}", separator=": ")
+        self.retry_pauses_s = _retry_pauses_s(error)
+
+
+def _retry_pauses_s(error: Exception) -> tuple[float, ...]:
+    if isinstance(error, OSError):
+        return _TRANSIENT_PAUSES_S if error.errno in _TRANSIENT_ERRORS else ()
+    return _HALF_WRITTEN_PAUSES_S if isinstance(error, ValueError) else ()
+
+
+@dataclass(frozen=True, slots=True)
+class FileStamp:
+    """Identifies the content of a file: a file that is replaced has another stamp."""
+
+    inode: int
+    size: int
+    modified_ns: int
+
+
+def read_file_stamp(path: str) -> FileStamp | None:
+    """The present stamp of a file, None if there is no such file."""
+    try:
+        status = os.stat(path)
+    except OSError:
+        return None
+    return FileStamp(status.st_ino, status.st_size, status.st_mtime_ns)
+
+
+def read_file(path: str) -> dict[str, Any]:
+    """Read the file once.
+
+    Raises:
+        ConfigurationError: the file cannot be read or holds no JSON object.
+    """
+    try:
+        with open(path, encoding="utf-8") as file:
+            raw = json.load(file)
+    except (OSError, ValueError, RecursionError) as error:
+        raise ConfigurationFileError(path, error) from error
+    if not isinstance(raw, dict):
+        raise ConfigurationError.within("NODE_CONFIG", f"{path} holds no object")
+    return raw
+
+
+def read_file_with_retries(path: str) -> dict[str, Any]:
+    """Read the file, again after a pause if it is half written or cannot be opened for a moment.
+
+    Raises:
+        ConfigurationError: the file cannot be read or holds no JSON object.
+    """
+    retries = 0
+    while True:
+        try:
+            return read_file(path)
+        except ConfigurationFileError as error:
+            if retries >= len(error.retry_pauses_s):
+                raise
+            time.sleep(error.retry_pauses_s[retries])
+            retries += 1
--- a/load_balancer/proxy/lifecycle/configuration_reload.py
+++ b/load_balancer/proxy/lifecycle/configuration_reload.py
@@ -4,12 +4,9 @@
 
 import logging
 
-from load_balancer.proxy.configuration import (
-    ConfigurationError,
-    NodeConfiguration,
-    read_file_stamp,
-    reload_discovery_address,
-)
+from load_balancer.proxy.configuration import NodeConfiguration, reload_discovery_address
+from load_balancer.proxy.configuration_file import read_file_stamp
+from load_balancer.proxy.configuration_values import ConfigurationError
 from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
 from load_balancer.proxy.event_loop.timer_group import TimerGroup
 
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -10,7 +10,8 @@
 import pytest
 
 from load_balancer.events import EndpointListKind, EndpointState
-from load_balancer.proxy.configuration import ConfigurationError, load_configuration
+from load_balancer.proxy.configuration import load_configuration
+from load_balancer.proxy.configuration_values import ConfigurationError
 from load_balancer.settings import Idempotency
 from tests.proxy.sample_settings import settings
 from tests.proxy.stub_discovery import listing, row
