--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -1,4 +1,4 @@
-"""python -m load_balancer: one real node; its environment says where it listens and whom it serves."""
+"""The command python -m load_balancer: runs one node, configured by its environment."""
 
 from __future__ import annotations
 
@@ -22,21 +22,23 @@
 
 async def _serve(config: NodeConfiguration) -> None:
     node = Node(config)
-    # What exists now lives as long as the node: leave it out of every later collection.
+    # The present objects exist as long as the node: exclude them from garbage collection.
     gc.freeze()
     await node.start()
     await node.wait()
-    # The loop gives the signals back to their defaults as it closes, and one of these would end the process
-    # before it has ended well: what comes from here on is left pending.
+    # The event loop restores the default signal handlers as it closes.  A signal after that would kill the
+    # process before it exits with 0: signals are blocked and stay pending.
     signal.pthread_sigmask(signal.SIG_BLOCK, _HANDLED_SIGNALS)
 
 
 def main() -> int:
     """Run one node.
 
-    Returns 0 after SIGTERM, and 2 with one plain line on standard error for a bad configuration.
+    Returns:
+        The exit code: 0 after SIGTERM, 2 for a bad configuration, which one line on standard error describes.
     """
-    # The default would end the process.  What comes before the node handles it is made up for at its start.
+    # The default handler would end the process.  ConfigurationReload.after_start() follows a signal that is
+    # ignored here.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logging()
     try:
--- a/load_balancer/logging_setup.py
+++ b/load_balancer/logging_setup.py
@@ -1,4 +1,4 @@
-"""The node's log: lines on standard error, at a bounded rate."""
+"""The log of a node: lines on standard error, at a limited rate."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 MAX_LINE_BYTES = select.PIPE_BUF
 
 UNLIMITED = {"unlimited": True}
-"""The extra of a line that is written whatever the rate: for lines whose number is bounded otherwise."""
+"""The extra of a line that is exempt from the rate limit, for lines whose rate is limited otherwise."""
 
 
 class LogRateLimit(logging.Filter):
-    """A token bucket for log lines; says on the next line how many it suppressed.
+    """A token bucket for log lines; appends the number of suppressed lines to the next line.
 
-    Guards against a node that is busy, or blocked, with writing what faulty peers make it say.
+    It keeps faulty peers from occupying the node with log lines that they cause.
     """
 
     def __init__(self, lines_per_s: float = LINES_PER_S, burst: float = BURST_LINES) -> None:
@@ -31,7 +31,7 @@
         self._suppressed = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line is written."""
+        """Whether the line is to be written."""
         if getattr(record, "unlimited", False):
             return True
         now = time.monotonic()
@@ -49,9 +49,10 @@
 
 
 class NonBlockingHandler(logging.StreamHandler[TextIO]):
-    """Writes lines to a stream that may be a pipe which nobody reads: a line that does not fit is dropped.
+    """Writes lines to a stream without blocking; a line that the stream cannot take now is dropped.
 
-    A pipe that polls as writable takes MAX_LINE_BYTES at once; the loop must never wait for a reader.
+    The stream may be a pipe that nobody reads, and the event loop must not wait for a reader.  A pipe that
+    polls as writable takes MAX_LINE_BYTES at once.
     """
 
     def __init__(self, stream: TextIO) -> None:
@@ -60,19 +61,19 @@
         self._poll.register(stream.fileno(), select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write the line if that does not block."""
+        """Write the line if the stream can take it now."""
         if self._poll.poll(0):
             super().emit(record)
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line, shortened to what a pipe takes at once; without its end."""
+        """The line without its line break, truncated to the length that a pipe takes at once."""
         encoded = super().format(record).encode(errors="replace")
         return encoded[: MAX_LINE_BYTES - 1].decode(errors="ignore")
 
 
 def configure_logging() -> None:
-    """Write the lines of all loggers to standard error, at a bounded rate, and never wait for its reader."""
-    logging.raiseExceptions = False  # a standard error that is closed is no reason to write to it once more
+    """Write the lines of all loggers to standard error, at a limited rate and without blocking."""
+    logging.raiseExceptions = False  # a failed write to standard error cannot be reported there
     handler = NonBlockingHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(message)s"))
     handler.addFilter(LogRateLimit())
--- a/load_balancer/proxy/address.py
+++ b/load_balancer/proxy/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as the configuration and the endpoint list write them."""
+"""Network addresses in the form of the configuration and the endpoint list, host:port."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Read 'host:port'.
 
     Raises:
-        ValueError: the text is no address.
+        ValueError: the text is not an address.
     """
     host, _, port_text = text.rpartition(":")
     port = int(port_text)
--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -4,13 +4,14 @@
 
 from dataclasses import dataclass
 
-# Used by the process itself: 20 were counted with nothing open.  The watch, its successor, and connections
-# that are just being accepted or closed come on top.  Only what remains beside these is divided.
+# Not divided: 20 descriptors that the process uses with nothing open, the watch and its successor, and
+# connections that are being accepted or closed.
 RESERVED_DESCRIPTORS = 28
 DOWNSTREAM_FRACTION = 0.42  # of the remainder
-MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: as many connections may clients with requests hold
-MIN_UPSTREAM_FRACTION = 1 / 3  # of the remainder, where the limit is tight
-# Of the limit on downstream connections: as many more are answered 503 while none can be evicted.
+MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: clients with requests may hold as many connections
+MIN_UPSTREAM_FRACTION = 1 / 3  # of the remainder, under a tight limit
+# Of the limit on downstream connections: as many more are accepted, and answered 503 while no connection can
+# be evicted.
 OVERFLOW_FRACTION = 0.1
 MIN_OVERFLOW = 2
 
@@ -29,7 +30,7 @@
 
 
 def divide_descriptors(limit: int) -> DescriptorShares:
-    """Divide the limit so that a side that is full leaves the other's and discovery's descriptors free."""
+    """Divide the limit so that neither side can use up the descriptors of the other or of discovery."""
     remainder = limit - RESERVED_DESCRIPTORS
     wanted = max(DOWNSTREAM_FRACTION * remainder, MIN_DOWNSTREAM_FRACTION * limit)
     bound = (1.0 - MIN_UPSTREAM_FRACTION) * remainder / (1.0 + OVERFLOW_FRACTION)
--- a/load_balancer/proxy/event_loop/clock.py
+++ b/load_balancer/proxy/event_loop/clock.py
@@ -1,4 +1,4 @@
-"""The clock that the policy's times are on."""
+"""The clock of a node, on which all times of the policy are."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class Clock:
     """Unix time in milliseconds, advanced by the monotonic clock.
 
-    It never goes backwards, and stays comparable with the start times of servers whatever is done to the
-    system's clock.
+    It never goes backwards.  It stays comparable with the start times of endpoints when the system's clock is
+    set.
     """
 
     def __init__(self) -> None:
--- a/load_balancer/proxy/event_loop/loop_iterations.py
+++ b/load_balancer/proxy/event_loop/loop_iterations.py
@@ -1,8 +1,8 @@
-"""Bounds the arrival time of what an iteration of the event loop reads.
+"""Bounds the arrival time of the input that an iteration of the event loop reads.
 
-A client's time counts from the last byte of its request, and a busy loop reads that late: counting from the
-read would miss the deadline.  The system reports no time of arrival, but a loop that polls its sockets in
-every iteration bounds it: what this iteration reads was not there at the poll before.
+A client's time counts from the arrival of the last byte of its request.  A busy event loop reads that byte
+late, so a deadline counted from the read would be missed.  The system reports no arrival time.  But the loop
+polls its sockets in every iteration: input that this iteration reads had not arrived at the poll before.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 import asyncio
 import time
 
-IDLE_POLL_S = 0.002  # a poll that took longer was waiting: what ended it arrived just then
+IDLE_POLL_S = 0.002  # a poll that took longer has waited for input, which arrived at its end
 
 
 class LoopIterations:
-    """Follows the iterations of the event loop that do any work; each of them has to be marked."""
+    """Records when the event loop polled its sockets; each iteration that does any work has to be marked."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -22,7 +22,7 @@
         self._marked = False
 
     def mark_activity(self) -> None:
-        """Note that this iteration does work: to be called before the work, any number of times."""
+        """Mark this iteration as one that does work; to be called before the work, any number of times."""
         if self._marked:
             return
         self._marked = True
@@ -32,11 +32,11 @@
         self._loop.call_soon(self._before_poll)
 
     def earliest_arrival(self) -> float:
-        """The monotonic time, in seconds, after which everything that this iteration reads has arrived."""
+        """The monotonic time, in seconds, before which no input of this iteration can have arrived."""
         self.mark_activity()
         return self._earliest_arrival
 
     def _before_poll(self) -> None:
-        """Everything that was ready has been handled; the loop polls the sockets next."""
+        """Record the time of the poll, which follows when all ready callbacks have run."""
         self._marked = False
         self._polled_at = time.monotonic()
--- a/load_balancer/proxy/event_loop/socket_poll.py
+++ b/load_balancer/proxy/event_loop/socket_poll.py
@@ -1,4 +1,7 @@
-"""Polls one socket beside the event loop, which reports an event one iteration later, or not while paused."""
+"""Polls one socket directly.
+
+The event loop reports the same event an iteration later, and not at all while reading is paused.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 def poll_socket(descriptor: int, event: int) -> bool:
-    """Whether this event, an error or a hang-up is pending on the descriptor right now."""
+    """Whether this event, an error or a hang-up is pending on the descriptor now."""
     poll = select.poll()
     poll.register(descriptor, event)
     return bool(poll.poll(0))
--- a/load_balancer/proxy/event_loop/timer_group.py
+++ b/load_balancer/proxy/event_loop/timer_group.py
@@ -1,4 +1,4 @@
-"""Timers that have one owner and are cancelled together."""
+"""Timers of one owner that are cancelled together."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     def call_later(
         self, delay_s: float, callback: Callable[[*Arguments], None], *arguments: *Arguments
     ) -> None:
-        """Call back once in this many seconds, unless all timers are cancelled before."""
+        """Call back once after this many seconds, unless all timers are cancelled before."""
         self._last_key += 1
         key = self._last_key
 
--- a/load_balancer/proxy/observability/__init__.py
+++ b/load_balancer/proxy/observability/__init__.py
@@ -1,4 +1,4 @@
-"""What observes a node: counters and the record of rule violations.
+"""Observes a node: counters and the record of rule violations.
 
 Imports the event loop's helpers of the proxy only.
 """
--- a/load_balancer/proxy/observability/counters.py
+++ b/load_balancer/proxy/observability/counters.py
@@ -1,4 +1,4 @@
-"""What a node has done, in numbers: one log line in a while, and one at its end."""
+"""Counters of a node, reported in a log line from time to time and at the end."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
     IDLE = "idle"
     UNUSED = "unused"
-    """It brought no request for the servers."""
+    """No request for the endpoints came on it."""
 
     EVICTED = "evicted"
     RESPONSE_UNREAD = "response_unread"
     LAST_RESPONSE = "last_response"
-    """The response before said so: as the client asked for, for a bad request, or as the node drains."""
+    """The last response announced it: requested by the client, request invalid, or node draining."""
 
     DRAINED = "drained"
     STOPPED = "stopped"
@@ -41,11 +41,11 @@
 
     Attributes:
         accepted: requests that were accepted.
-        abandoned: those whose clients left.
+        abandoned: accepted requests whose client left before the response.
         responses: responses by status, readiness checks among them.
-        finished: answers without a served attempt, by reason.
+        finished: requests that were rejected or failed, by reason.
         written: attempts that were written.
-        withheld: attempts that came to be written after their idempotency window, and were not.
+        withheld: attempts that were not written, as the deduplication window of their key was over.
         outcomes: ended attempts by outcome.
         closed: client connections that the node closed, by reason.
     """
@@ -80,7 +80,7 @@
 
 
 class CounterReport:
-    """Logs the counters while they change, and once more at the end."""
+    """Logs the counters at intervals if they have changed, and at the end."""
 
     def __init__(self, counters: NodeCounters, rules: RuleMonitor) -> None:
         self._counters = counters
@@ -89,11 +89,11 @@
         self._last = ""
 
     def start(self) -> None:
-        """Log from now on."""
+        """Start to log."""
         self._timers.call_later(REPORT_INTERVAL_S, self._report)
 
     def stop(self) -> None:
-        """Log the last counts."""
+        """Log the final counts."""
         self._timers.cancel_all()
         self._log()
 
--- a/load_balancer/proxy/request_table.py
+++ b/load_balancer/proxy/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that clients wait for, their attempts, and the request ids that are reserved."""
+"""The open requests, their attempts in flight, and the client ids that are reserved."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that a client waits for.
+    """A request whose client waits for the response.
 
     Attributes:
         message: the client's request.
-        slot: the place of its response.
-        deadline_ms: when it must be answered, on the node's clock.
-        deadline_timer: answers it if the policy has not done so by then.
-        head: the part of the upstream head that is the same for each attempt.
-        guard: the last check of what is written for it.
-        attempt_count: attempts that the policy has started.
+        slot: receives the response.
+        deadline_ms: when the request must be answered, on the node's clock.
+        deadline_timer: answers the request if the policy has not done so by its deadline.
+        head: the part of the upstream request head that all attempts share.
+        guard: the last check before an attempt is written or the request is rejected.
+        attempt_count: how many attempts the policy has decided on; numbers the next attempt.
     """
 
     message: HttpMessage
@@ -38,13 +38,13 @@
 
     @property
     def client_id(self) -> bytes:
-        """The id that the client gave it."""
+        """The id that the client chose for the request."""
         return self.message.headers[REQUEST_ID]
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt of a request; attempts are numbered from 0 for each request."""
+    """One attempt of a request.  The attempts of each request are numbered from 0."""
 
     request_id: RequestId
     number: int
@@ -53,7 +53,11 @@
 
 
 class RequestTable:
-    """The open requests and the attempts that are in flight, also those of finished requests."""
+    """The open requests, and the attempts in flight of open and of finished requests.
+
+    A client id is reserved while its request is open or an attempt of it is in flight, so that two requests
+    with the same id cannot run at the same time.
+    """
 
     def __init__(self) -> None:
         self._pending: dict[RequestId, PendingRequest] = {}
@@ -70,7 +74,7 @@
 
     @property
     def open_ids(self) -> tuple[RequestId, ...]:
-        """The requests that are not answered."""
+        """The ids of the requests that are not answered."""
         return tuple(self._pending)
 
     @property
@@ -80,13 +84,13 @@
 
     @property
     def reserved_client_ids(self) -> frozenset[bytes]:
-        """The client ids that no new request may have."""
+        """The client ids that no new request may use."""
         return frozenset(self._reserved)
 
     # Client ids.
 
     def is_reserved(self, client_id: bytes) -> bool:
-        """Whether a request with this client id is open, or an attempt of one in flight."""
+        """Whether a request with this client id is open or an attempt of it is in flight."""
         return client_id in self._reserved
 
     def reserve(self, client_id: bytes) -> None:
@@ -94,7 +98,7 @@
         self._reserved[client_id] = self._reserved.get(client_id, 0) + 1
 
     def release(self, client_id: bytes) -> None:
-        """Undo one reservation: the id is free when its request is answered and no attempt is in flight."""
+        """Release one reservation of the client id; the id is free when none is left."""
         self._reserved[client_id] -= 1
         if not self._reserved[client_id]:
             del self._reserved[client_id]
@@ -102,22 +106,23 @@
     # Requests.
 
     def next_id(self) -> RequestId:
-        """A number that no request has had."""
+        """A new request id."""
         self._last_id += 1
         return self._last_id
 
     def add(self, request_id: RequestId, request: PendingRequest) -> None:
-        """Enter a request whose client id has been reserved for it."""
+        """Add a request whose client id has been reserved."""
         self._pending[request_id] = request
 
     def get(self, request_id: RequestId) -> PendingRequest | None:
-        """The request, None if it has been answered or was abandoned."""
+        """The request, None if it has been answered or abandoned."""
         return self._pending.get(request_id)
 
     def finish(self, request_id: RequestId, *, remember: bool) -> PendingRequest | None:
-        """Take a request out; None if it is out already.
+        """Remove a request; if it is remembered, finished() returns it until forget_finished() is called.
 
-        Where it is remembered, finished() knows it until forget_finished().
+        Returns:
+            The request, None if it has been removed before.
         """
         request = self._pending.pop(request_id, None)
         if request is not None:
@@ -129,29 +134,33 @@
         return request
 
     def finished(self, request_id: RequestId) -> PendingRequest:
-        """A finished request that is remembered; KeyError if it is not."""
+        """A finished request that is remembered.
+
+        Raises:
+            KeyError: the request is not remembered.
+        """
         return self._finished[request_id]
 
     def forget_finished(self) -> None:
-        """The policy knows of all requests that have finished."""
+        """Forget the finished requests that are remembered."""
         self._finished.clear()
 
     # Attempts.
 
     def add_attempt(self, attempt: Attempt, upstream_request: UpstreamRequest) -> None:
-        """Enter an attempt that has been started."""
+        """Add an attempt that has been started."""
         self._attempts[attempt.request_id, attempt.number] = upstream_request
 
     def get_attempt(self, request_id: RequestId, number: int) -> UpstreamRequest | None:
-        """The attempt, None if it has ended."""
+        """The attempt in flight, None if it has ended."""
         return self._attempts.get((request_id, number))
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """The attempt has ended."""
+        """Remove an attempt that has ended."""
         self._attempts.pop((attempt.request_id, attempt.number), None)
 
     def attempts_of(self, request_id: RequestId, request: PendingRequest) -> Iterator[UpstreamRequest]:
-        """The attempts of a request that have not ended, in order; they may end during the iteration."""
+        """The attempts of a request that are in flight, by number; they may end during the iteration."""
         for number in range(request.attempt_count):
             attempt = self.get_attempt(request_id, number)
             if attempt is not None:
