--- a/load_balancer/proxy/configuration.py
+++ b/load_balancer/proxy/configuration.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from load_balancer.proxy.address import Address
 from load_balancer.proxy.configuration_file import (
@@ -34,8 +34,7 @@
 _MIN_MEMORY_MB = 1
 
 
-@dataclass(frozen=True, slots=True)
-class Limits:
+class Limits(NamedTuple):
     """What the platform allows one node.
 
     Attributes:
@@ -47,7 +46,7 @@
     sockets: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, eq=False)
 class NodeConfiguration:
     """The configuration of a node.
 
--- a/load_balancer/proxy/configuration_file.py
+++ b/load_balancer/proxy/configuration_file.py
@@ -6,8 +6,7 @@
 import json
 import os
 import time
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from load_balancer.proxy.configuration_values import ConfigurationError
 
@@ -35,8 +34,7 @@
     return _HALF_WRITTEN_PAUSES_S if isinstance(error, ValueError) else ()
 
 
-@dataclass(frozen=True, slots=True)
-class FileStamp:
+class FileStamp(NamedTuple):
     """Identifies the content of a file: a file that is replaced has another stamp."""
 
     inode: int
--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 # Not divided: 20 descriptors that the process uses with nothing open, the watch and its successor, and
 # connections that are being accepted or closed.
@@ -16,8 +16,7 @@
 MIN_OVERFLOW = 2
 
 
-@dataclass(frozen=True, slots=True)
-class DescriptorShares:
+class DescriptorShares(NamedTuple):
     """How many connections each side of the node may have open."""
 
     downstream: int
--- a/load_balancer/proxy/observability/counters.py
+++ b/load_balancer/proxy/observability/counters.py
@@ -5,7 +5,6 @@
 import logging
 from collections import Counter
 from collections.abc import Mapping
-from dataclasses import dataclass, field
 from enum import Enum
 
 from load_balancer.actions import FinishReason
@@ -35,7 +34,6 @@
     STOPPED = "stopped"
 
 
-@dataclass(slots=True)
 class NodeCounters:
     """Counts since the start of the process.
 
@@ -50,14 +48,15 @@
         closed: client connections that the node closed, by reason.
     """
 
-    accepted: int = 0
-    abandoned: int = 0
-    written: int = 0
-    withheld: int = 0
-    responses: Counter[int] = field(default_factory=Counter)
-    finished: Counter[FinishReason] = field(default_factory=Counter)
-    outcomes: Counter[Outcome] = field(default_factory=Counter)
-    closed: Counter[CloseReason] = field(default_factory=Counter)
+    def __init__(self) -> None:
+        self.accepted = 0
+        self.abandoned = 0
+        self.written = 0
+        self.withheld = 0
+        self.responses: Counter[int] = Counter()
+        self.finished: Counter[FinishReason] = Counter()
+        self.outcomes: Counter[Outcome] = Counter()
+        self.closed: Counter[CloseReason] = Counter()
 
     def summary(self, rules: RuleMonitor) -> str:
         """All counts as the fields of one log line."""
--- a/load_balancer/proxy/request_guard.py
+++ b/load_balancer/proxy/request_guard.py
@@ -7,14 +7,11 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from load_balancer.events import NOT_EXECUTED, Endpoint, Outcome
 from load_balancer.proxy.observability.rule_monitor import Rule
 from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 
-@dataclass(slots=True)
 class WrittenAttempt:
     """An attempt that was written to an endpoint.
 
@@ -24,9 +21,12 @@
         outcome: how the attempt ended; None while it is in flight.
     """
 
-    endpoint: Endpoint
-    written_ms: float
-    outcome: Outcome | None = None
+    __slots__ = ("endpoint", "outcome", "written_ms")
+
+    def __init__(self, endpoint: Endpoint, written_ms: float) -> None:
+        self.endpoint = endpoint
+        self.written_ms = written_ms
+        self.outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
         """Whether the endpoint may have executed the attempt, or may still execute it."""
--- a/load_balancer/proxy/request_table.py
+++ b/load_balancer/proxy/request_table.py
@@ -5,6 +5,7 @@
 import asyncio
 from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.events import EndpointId, RequestId
 from load_balancer.proxy.downstream.response_slot import ResponseSlot
@@ -14,7 +15,7 @@
 from load_balancer.proxy.upstream.request import UpstreamRequest
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class PendingRequest:
     """A request whose client waits for the response.
 
@@ -42,8 +43,7 @@
         return self.message.headers[REQUEST_ID]
 
 
-@dataclass(frozen=True, slots=True)
-class Attempt:
+class Attempt(NamedTuple):
     """One attempt of a request.  The attempts of each request are numbered from 0."""
 
     request_id: RequestId
