--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -49,6 +49,7 @@
         clock = Clock()
         host = b"%s:%d" % (config.listen[0].encode(), config.listen[1])
         shares = divide_descriptors(config.limits.sockets)
+        shutdown_deadline = ShutdownDeadline(max(c.deadline_ms for c in settings.classes) / 1000.0)
         self._iterations = LoopIterations()
         self._driver = PolicyDriver(policy, clock, self._iterations)
         self._table = RequestTable()
@@ -61,35 +62,11 @@
             endpoint_idle_s=config.connection_idle_ms / 1000.0,
             max_open=shares.upstream,
         )
-        health_checker = HealthChecker(self._pools, clock, host, self._driver.handle_event)
         self._endpoint_updates = EndpointUpdates(self._pools, self._driver)
         self._discovery = self._create_discovery()
         self._reload = ConfigurationReload(config, self._discovery)
-        shutdown_deadline = ShutdownDeadline(max(c.deadline_ms for c in settings.classes) / 1000.0)
-        requests = RequestHandler(
-            settings,
-            host,
-            self._table,
-            self._driver,
-            clock,
-            self._counters,
-            self._rules,
-            shutdown_deadline,
-        )
-        attempts = AttemptSender(
-            self._table, requests, self._pools, self._driver, clock, self._counters, self._rules
-        )
-        self._driver.connect(
-            ActionDispatcher(
-                self._driver,
-                self._table,
-                requests,
-                attempts,
-                self._pools,
-                health_checker,
-                self._discovery,
-            )
-        )
+        requests = self._create_request_handler(clock, host, shutdown_deadline)
+        self._connect_driver(requests, clock, host)
         self._downstream = self._create_downstream(requests, shares.downstream)
         self._shutdown = GracefulShutdown(
             self._downstream,
@@ -110,6 +87,32 @@
             on_failure=self._endpoint_updates.report_failure,
         )
 
+    def _create_request_handler(
+        self, clock: Clock, host: bytes, shutdown_deadline: ShutdownDeadline
+    ) -> RequestHandler:
+        return RequestHandler(
+            self._config.settings,
+            host,
+            self._table,
+            self._driver,
+            clock,
+            self._counters,
+            self._rules,
+            shutdown_deadline,
+        )
+
+    def _connect_driver(self, requests: RequestHandler, clock: Clock, host: bytes) -> None:
+        """Create the parts that carry out the policy's actions, and connect them to the driver."""
+        attempts = AttemptSender(
+            self._table, requests, self._pools, self._driver, clock, self._counters, self._rules
+        )
+        health_checker = HealthChecker(self._pools, clock, host, self._driver.handle_event)
+        self._driver.connect(
+            ActionDispatcher(
+                self._driver, self._table, requests, attempts, self._pools, health_checker, self._discovery
+            )
+        )
+
     def _create_downstream(self, requests: RequestHandler, max_connections: int) -> DownstreamServer:
         settings = self._config.settings
         lists_are_pushed = not settings.poll_endpoint_list
