--- /dev/null
+++ b/load_balancer/proxy/request_guard.py
@@ -0,0 +1,88 @@
+"""The last check before an attempt is written or a request is rejected.
+
+The policy decides by its own records.  The guard keeps an independent record where the bytes leave the
+node: which attempts were written and how they ended.  If the two disagree, one of them has a fault.  The
+caller then withholds the attempt, or fails the request instead of rejecting it, and reports the violation.
+"""
+
+from __future__ import annotations
+
+from load_balancer.events import NOT_EXECUTED, Endpoint, Outcome
+from load_balancer.proxy.observability.rule_monitor import Rule
+from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
+
+
+class WrittenAttempt:
+    """An attempt that was written to an endpoint.
+
+    Attributes:
+        endpoint: the endpoint's row in the endpoint list at the time of the write.
+        written_ms: time of the write on the node's clock.
+        outcome: how the attempt ended; None while it is in flight.
+    """
+
+    __slots__ = ("endpoint", "outcome", "written_ms")
+
+    def __init__(self, endpoint: Endpoint, written_ms: float) -> None:
+        self.endpoint = endpoint
+        self.written_ms = written_ms
+        self.outcome: Outcome | None = None
+
+    def may_have_run(self) -> bool:
+        """Whether the endpoint may have executed the attempt, or may still execute it."""
+        return self.outcome is None or self.outcome not in NOT_EXECUTED
+
+
+class RequestGuard:
+    """Records the written attempts of one request and checks what they still allow."""
+
+    def __init__(self, settings: Settings, class_index: int) -> None:
+        self._settings = settings
+        self._class: RequestClass = settings.classes[class_index]
+        self._written: dict[int, WrittenAttempt] = {}
+
+    def check_write(self, endpoint: Endpoint | None, now_ms: float) -> Rule | None:
+        """The rule that writing an attempt to this endpoint now would violate; None if there is none."""
+        if endpoint is None:
+            return Rule.NOT_SERVING
+        if len(self._written) >= self._settings.max_attempts:
+            return Rule.ATTEMPT_LIMIT
+        in_flight = any(attempt.outcome is None for attempt in self._written.values())
+        if in_flight and not self._settings.hedging_allowed:
+            return Rule.CONCURRENT
+        possible_runs = [attempt for attempt in self._written.values() if attempt.may_have_run()]
+        return self._check_repeat(possible_runs[0], endpoint, now_ms) if possible_runs else None
+
+    def _check_repeat(self, first: WrittenAttempt, endpoint: Endpoint, now_ms: float) -> Rule | None:
+        if self._class.idempotency is Idempotency.IDEMPOTENT:
+            return None
+        if self._class.idempotency is Idempotency.NON_IDEMPOTENT:
+            return Rule.REPEATED
+        if now_ms >= first.written_ms + self._class.deduplication_window_ms:
+            return Rule.OUTSIDE_WINDOW
+        return None if self._shares_keys(first.endpoint, endpoint) else Rule.OUTSIDE_SCOPE
+
+    def _shares_keys(self, first: Endpoint, other: Endpoint) -> bool:
+        scope = self._class.deduplication_scope
+        if scope is DeduplicationScope.ZONE:
+            return first.zone == other.zone
+        return scope is DeduplicationScope.ALL or first.cell == other.cell
+
+    def record_write(self, number: int, endpoint: Endpoint, now_ms: float) -> None:
+        """Record that an attempt is being written."""
+        self._written[number] = WrittenAttempt(endpoint, now_ms)
+
+    def record_outcome(self, number: int, outcome: Outcome) -> None:
+        """Record how an attempt ended; one that was not written is ignored."""
+        attempt = self._written.get(number)
+        if attempt is not None:
+            attempt.outcome = outcome
+
+    def may_reject(self) -> bool:
+        """Whether a retry by the client is safe, so that the request may be rejected."""
+        if self._class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        anywhere = self._class.deduplication_scope is DeduplicationScope.ALL
+        if self._class.idempotency is Idempotency.KEYED and anywhere:
+            return True
+        return not any(attempt.may_have_run() for attempt in self._written.values())
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -6,7 +6,7 @@
 import signal
 from pathlib import Path
 
-from load_balancer.proxy.lifecycle import FIRST_LIST_WAIT_S
+from load_balancer.proxy.lifecycle.readiness import FIRST_LIST_WAIT_S
 from tests.process.node_process import ConfigurationFile, NodeProcess, start_process
 from tests.proxy.async_support import HOST, TIMEOUT_S, async_test
 from tests.proxy.sample_settings import settings
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -1,4 +1,4 @@
-"""What a node reads at its start, and the error that names what cannot be used."""
+"""The configuration that a node reads at its start, and errors that name the key at fault."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 import pytest
 
 from load_balancer.events import EndpointListKind, EndpointState
-from load_balancer.proxy.configuration import ConfigurationError, load_configuration
+from load_balancer.proxy.configuration import load_configuration
+from load_balancer.proxy.configuration_values import ConfigurationError
 from load_balancer.settings import Idempotency
 from tests.proxy.sample_settings import settings
 from tests.proxy.stub_discovery import listing, row
@@ -68,7 +69,7 @@
 def test_file_that_cannot_be_opened_for_seconds_is_read_at_last(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The machine's table of files is full; that is no reason to fail the start."""
+    """A table of files that is full for seconds does not fail the start."""
     environment = _environment(tmp_path, _configuration())
     pauses: list[float] = []
     really_open = open
