--- a/fault_soak/clients/exchange.py
+++ b/fault_soak/clients/exchange.py
@@ -36,11 +36,19 @@
 
     history: History
 
-    def sent(self, connection: ClientConnection, request: ClientRequest, *, resent: bool = False) -> None:
-        """Record that a request was written."""
+    def sent(
+        self,
+        connection: ClientConnection,
+        request: ClientRequest,
+        first_byte_at: float,
+        *,
+        resent: bool = False,
+    ) -> None:
+        """Record that a request was written, from this time on."""
         self.history.add(
             RequestSent(
                 History.now(),
+                first_byte_at,
                 request.request_id,
                 connection.node.name,
                 connection.incarnation,
@@ -95,12 +103,13 @@
             Whether the request may be sent again on a new connection.
         """
         reused = connection.answered
+        first_byte_at = History.now()
         try:
             await self._write(connection, request.text)
         except ConnectionError:
             connection.writer.close()
             return reused
-        self.recorder.sent(connection, request, resent=resent)
+        self.recorder.sent(connection, request, first_byte_at, resent=resent)
         wait_s = request.deadline_s + GIVE_UP_AFTER_S if leave_s is None else leave_s
         try:
             async with asyncio.timeout(wait_s):
--- a/fault_soak/clients/faulty.py
+++ b/fault_soak/clients/faulty.py
@@ -61,10 +61,11 @@
         if connection is None:
             return
         drawn = [self._requests.draw() for _ in range(count)]
+        first_byte_at = History.now()
         connection.writer.write(b"".join(request.text for request in drawn))
         requests = _with_pipelined_deadlines(drawn)
         for request in requests:
-            self._recorder.sent(connection, request)
+            self._recorder.sent(connection, request, first_byte_at)
         await self._read_pipelined(connection, requests)
         connection.abort()
 
--- a/fault_soak/history.py
+++ b/fault_soak/history.py
@@ -43,6 +43,7 @@
     """A client wrote the last byte of a request.
 
     Attributes:
+        first_byte_at: when it began to write; the node may read from then on.
         request_id: the id that it carries.
         node: the node's name.
         incarnation: which of the node's processes accepted the connection.
@@ -51,6 +52,7 @@
         resent: it was sent before, on a connection that was closed before it was read.
     """
 
+    first_byte_at: float
     request_id: str
     node: str
     incarnation: int
--- a/fault_soak/oracle/answers.py
+++ b/fault_soak/oracle/answers.py
@@ -7,7 +7,7 @@
 
 from fault_soak.faults import FaultKind
 from fault_soak.history import RequestSent, ResponseMissing, ResponseReceived
-from fault_soak.oracle.tolerances import LATE_ALLOWANCE_S
+from fault_soak.oracle.tolerances import LATE_ALLOWANCE_S, PAUSE_ALLOWANCE_S, SOCKET_SLACK_S
 from fault_soak.oracle.view import HistoryView, incarnation_of
 from fault_soak.oracle.violations import Rule, Violation
 from fault_soak.servers import served_body
@@ -55,9 +55,17 @@
 
 
 def _connection_failed(view: HistoryView, sent: RequestSent, at: float) -> bool:
-    """Whether reads failed on live connections of the node in that time, those of clients among them."""
-    spans = view.fault_spans(FaultKind.SYSCALL_READ)
-    return any(span.begin <= at and sent.at <= span.end for span in spans if span.target == sent.node)
+    """Whether reads failed on live connections of the node in that time, those of clients among them.
+
+    The node reads from the first byte on, so that a read may fail long before a slow client has written the
+    last one. The client sees the close when it has written that, or soon after the end of the fault.
+    """
+    seen_within_s = SOCKET_SLACK_S + PAUSE_ALLOWANCE_S + view.lag_s
+    return any(
+        span.begin <= at <= max(sent.at, span.end) + seen_within_s and sent.first_byte_at <= span.end
+        for span in view.fault_spans(FaultKind.SYSCALL_READ)
+        if span.target == sent.node
+    )
 
 
 def _descriptors_used_up(view: HistoryView, sent: RequestSent) -> bool:
--- /dev/null
+++ b/tests/fault_soak/test_clients.py
@@ -0,0 +1,73 @@
+"""What stub clients record lets the oracle tell what happened to a request, in whatever order it happened."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from pathlib import Path
+
+import pytest
+
+from fault_soak.clients.population import ClientPopulation
+from fault_soak.drawing import draw_plan
+from fault_soak.endpoints import EndpointList
+from fault_soak.faults import FaultKind
+from fault_soak.history import FaultBegan, FaultEnded, History, RequestSent, ResponseMissing
+from fault_soak.nodes import NodeProcess
+from fault_soak.oracle import find_violations
+from fault_soak.plan import Plan
+from fault_soak.proxy import HOST, reset
+from fault_soak.result import ScenarioResult
+
+NODE = "n0"
+FAULT = (0, FaultKind.SYSCALL_READ.value, NODE)
+
+
+def _node(server: asyncio.Server, plan: Plan, history: History, directory: Path) -> NodeProcess:
+    """A node without a process of its own: clients reach the server in its place."""
+    return NodeProcess(
+        NODE,
+        tree=directory,
+        directory=directory,
+        port=server.sockets[0].getsockname()[1],
+        settings=plan.settings,
+        descriptors=plan.descriptors,
+        discovery_address=str,
+        known_list=lambda: EndpointList(0, True, ()),
+        history=history,
+    )
+
+
+def test_read_that_fails_within_a_slow_request_is_excused_when_the_fault_ends_before_its_last_byte(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    asyncio.run(_run_read_failure_within_slow_request(monkeypatch, tmp_path))
+
+
+async def _run_read_failure_within_slow_request(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+    history, plan, fault_ended = History(), draw_plan(8), asyncio.Event()
+
+    async def fail_first_read(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readexactly(1)
+        reset(writer)
+        history.add(FaultEnded(History.now(), *FAULT, fired=1))
+        fault_ended.set()
+
+    async def pause_until_fault_ended(_: float) -> None:
+        await fault_ended.wait()
+
+    server = await asyncio.start_server(fail_first_read, HOST, 0)
+    node = _node(server, plan, history, tmp_path)
+    clients = ClientPopulation(plan, [node], history, random.Random(1))
+    clients.behaviour.slow = True
+    monkeypatch.setattr("fault_soak.clients.exchange.asyncio.sleep", pause_until_fault_ended)
+    history.add(FaultBegan(History.now(), *FAULT))
+    # The request that comes first is complete; nothing follows it, as its connection is closed.
+    await clients.faulty.stop_within_request(node, first=False)
+    server.close()
+    (sent,), (missing,) = history.of(RequestSent), history.of(ResponseMissing)
+    (ended,) = history.of(FaultEnded)
+    assert ended.at < sent.at
+    assert missing.closed and not missing.unread_allowed
+    result = ScenarioResult(plan, history, worst_lag_s=0.0, shim_loaded=True)
+    assert [str(violation) for violation in find_violations(result)] == []
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -8,12 +8,15 @@
 import pytest
 
 from fault_soak.drawing import draw_plan
+from fault_soak.faults import FaultKind
 from fault_soak.history import (
     AttemptDone,
     AttemptReceived,
     AttemptResult,
     ClientLeft,
     EndpointNotified,
+    FaultBegan,
+    FaultEnded,
     History,
     HistoryEvent,
     IncompleteRequestReleased,
@@ -93,7 +96,7 @@
 
 
 def _sent(class_name: str = "look", at: float = 1.0) -> RequestSent:
-    return RequestSent(at, "r", "n0", 1, class_name, 1.0)
+    return RequestSent(at, at, "r", "n0", 1, class_name, 1.0)
 
 
 def _received(
@@ -106,6 +109,16 @@
     return AttemptDone(at, server, connection, "r", result)
 
 
+def _closed_under_read_failures(first_byte_at: float, sent_at: float, closed_at: float) -> list[HistoryEvent]:
+    """Reads fail on the node from 1.0 to 2.0 s while a client writes, and finds its connection closed."""
+    return [
+        FaultBegan(1.0, 0, FaultKind.SYSCALL_READ.value, "n0"),
+        FaultEnded(2.0, 0, FaultKind.SYSCALL_READ.value, "n0", 1),
+        replace(_sent(at=sent_at), first_byte_at=first_byte_at),
+        ResponseMissing(closed_at, "r", True, False),
+    ]
+
+
 def _answer(status: int = 200, at: float = 1.2, body: bytes = b"", after: float | None = 0.1) -> HistoryEvent:
     return ResponseReceived(at, "r", status, body, after)
 
@@ -131,6 +144,30 @@
             Rule.CLOSED_UNREAD,
             id="closed unread",
         ),
+        pytest.param(
+            _closed_under_read_failures(1.9, 2.1, closed_at=2.1),
+            _closed_under_read_failures(2.01, 2.1, closed_at=2.1),
+            Rule.CLOSED_UNREAD,
+            id="first byte before the failing reads end, or after",
+        ),
+        pytest.param(
+            _closed_under_read_failures(1.9, 2.1, closed_at=2.25),
+            _closed_under_read_failures(1.9, 2.1, closed_at=2.35),
+            Rule.CLOSED_UNREAD,
+            id="slow request closed soon after its last byte, or late",
+        ),
+        pytest.param(
+            _closed_under_read_failures(1.9, 1.9, closed_at=2.15),
+            _closed_under_read_failures(1.9, 1.9, closed_at=2.25),
+            Rule.CLOSED_UNREAD,
+            id="closed soon after the failing reads end, or late",
+        ),
+        pytest.param(
+            _closed_under_read_failures(0.7, 0.9, closed_at=1.01),
+            _closed_under_read_failures(0.7, 0.9, closed_at=0.99),
+            Rule.CLOSED_UNREAD,
+            id="closed while reads fail, or before",
+        ),
         pytest.param(
             [_sent(), NodeSignalled(1.1, "n0", 1, signal.SIGKILL), ResponseMissing(1.1, "r", True, False)],
             [_sent(), NodeSignalled(2.9, "n0", 1, signal.SIGKILL), ResponseMissing(2.7, "r", False, False)],
@@ -274,7 +311,7 @@
 def test_node_that_sends_nothing_for_seconds_is_starved() -> None:
     requests: list[HistoryEvent] = []
     for i in range(20):
-        sent = RequestSent(1.0 + 0.25 * i, f"r{i}", "n0", 1, "look", 1.0)
+        sent = RequestSent(1.0 + 0.25 * i, 1.0 + 0.25 * i, f"r{i}", "n0", 1, "look", 1.0)
         requests += [sent, ResponseReceived(sent.at + 0.05, sent.request_id, 503, b"", 0.1)]
     attempt = AttemptReceived(3.0, 3.0, "s0", 1, ADDRESS, "r8", 0.5)
     assert Rule.STARVED in _broken(*requests)
