--- a/fault_soak/clients/exchange.py
+++ b/fault_soak/clients/exchange.py
@@ -134,8 +134,9 @@
         if self.behaviour.slow:
             size = len(text) // SLOW_PIECES + 1
             for i in range(SLOW_PIECES):
+                if i > 0:
+                    await asyncio.sleep(SLOW_INTERVAL_S)
                 connection.writer.write(text[i * size : (i + 1) * size])
-                await asyncio.sleep(SLOW_INTERVAL_S)
             return
         connection.writer.write(text)
         await connection.writer.drain()
--- a/tests/fault_soak/test_clients.py
+++ b/tests/fault_soak/test_clients.py
@@ -71,3 +71,35 @@
     assert missing.closed and not missing.unread_allowed
     result = ScenarioResult(plan, history, worst_lag_s=0.0, shim_loaded=True)
     assert [str(violation) for violation in find_violations(result)] == []
+
+
+def test_slow_request_is_recorded_as_sent_before_its_last_byte_can_be_read(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    asyncio.run(_run_slow_request(monkeypatch, tmp_path))
+
+
+async def _run_slow_request(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+    history, plan, pieces = History(), draw_plan(8), [asyncio.Event() for _ in range(4)]
+    read_at: list[float] = []
+
+    async def read_pieces_and_close(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        for piece in pieces:
+            await reader.read(4096)
+            read_at.append(History.now())
+            piece.set()
+        writer.close()
+
+    async def pause_until_piece_is_read(_: float) -> None:
+        await next(piece for piece in pieces if not piece.is_set()).wait()
+
+    server = await asyncio.start_server(read_pieces_and_close, HOST, 0)
+    node = _node(server, plan, history, tmp_path)
+    clients = ClientPopulation(plan, [node], history, random.Random(1))
+    clients.behaviour.slow = True
+    monkeypatch.setattr("fault_soak.clients.exchange.asyncio.sleep", pause_until_piece_is_read)
+    await clients.faulty.stop_within_request(node, first=False)
+    server.close()
+    (sent,) = history.of(RequestSent)
+    assert len(read_at) == len(pieces)
+    assert read_at[-2] < sent.at < read_at[-1]
