--- a/load_balancer/proxy/upstream/connection.py
+++ b/load_balancer/proxy/upstream/connection.py
@@ -7,6 +7,7 @@
 import logging
 import select
 import socket
+from enum import Enum, auto
 from typing import Protocol, cast
 
 from load_balancer.events import Outcome
@@ -18,8 +19,34 @@
 log = logging.getLogger(__name__)
 
 
+class ConnectionState(Enum):
+    """What a connection is used for.
+
+    ==================  ==================  ===================================================
+    from                to                  when
+    ==================  ==================  ===================================================
+    CONNECTING          IDLE                the handshake is complete
+    IDLE                IN_FLIGHT           a request is written
+    IN_FLIGHT           IDLE                its response is complete and nothing came behind it
+    IDLE, IN_FLIGHT     CLOSED              either side closes
+    ==================  ==================  ===================================================
+
+    A connection in another state than CLOSED may be closing already: the transport knows of the close by
+    the endpoint before it reports it.
+    """
+
+    CONNECTING = auto()
+    """The handshake is not complete."""
+    IDLE = auto()
+    """It carries no request."""
+    IN_FLIGHT = auto()
+    """It carries a request whose response is not complete."""
+    CLOSED = auto()
+    """It is closed, or being closed by this node; what still comes is not read."""
+
+
 class ConnectionOwner(Protocol):
-    """Keeps account of connections and decides which of them are kept between requests."""
+    """Registers connections and decides which of them are kept between requests."""
 
     def connection_opened(self, connection: UpstreamConnection, /) -> None:
         """The connection came up."""
@@ -32,7 +59,7 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to an endpoint; carries one request at a time.
+    """One connection to an endpoint; carries one request at a time.  See ConnectionState.
 
     Attributes:
         idle_since: since when it has carried no request, in the loop's time; 0 before the first.
@@ -43,8 +70,9 @@
         self._endpoint_name = endpoint_name
         self._owner = owner
         self._idle_before_request_s = 0.0
-        self._request: UpstreamRequest | None = None
-        self._response: HttpMessage | None = None
+        self._state = ConnectionState.CONNECTING
+        self._request: UpstreamRequest | None = None  # set exactly while IN_FLIGHT
+        self._response: HttpMessage | None = None  # set from its last byte until it is reported
         self._reader = HttpReader(self._on_response, requests=False)
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
@@ -52,36 +80,37 @@
     @property
     def in_use(self) -> bool:
         """Whether a request is in flight on it."""
-        return self._request is not None
+        return self._state is ConnectionState.IN_FLIGHT
 
     @property
     def idle_before_request_s(self) -> float:
-        """How long it had been idle when its present request, or else its last, was written."""
+        """How long it had been idle when the present request, or else the last one, was written."""
         return self._idle_before_request_s
 
     def is_open(self) -> bool:
-        """Whether it is up and not being closed."""
+        """Whether it is up and not being closed by either side."""
         return self._transport is not None and not self._transport.is_closing()
 
     def has_no_unread_input(self) -> bool:
-        """Whether it is open, and neither surplus bytes nor the endpoint's close wait to be read."""
+        """Whether it is open, and neither surplus bytes nor a close by the endpoint are unread."""
         if not self.is_open():
             return False
         assert self._transport is not None
         return not poll_socket(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def send(self, request: UpstreamRequest) -> None:
-        """Write the request; from here on it may have run."""
+        """Write the request, which may have run from then on.  The connection must be idle."""
         assert self._transport is not None
         now = self._loop.time()
         self._idle_before_request_s = now - self.idle_since if self.idle_since else 0.0
+        self._state = ConnectionState.IN_FLIGHT
         self._request = request
-        request.connection = self
-        request.written = True
+        request.mark_written(self)
         self._transport.write(request.outbound.render(request.deadline - self._loop.time()))
 
     def abort(self) -> None:
         """Close at once; input that still comes is not read, and no outcome is reported."""
+        self._state = ConnectionState.CLOSED
         self._request = None
         if self._transport is not None:
             self._transport.abort()
@@ -91,11 +120,12 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection came up."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        self._state = ConnectionState.IDLE
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Read a piece of the response."""
-        if self._request is None:
+        if self._state is not ConnectionState.IN_FLIGHT:
             self.abort()  # unsolicited bytes must not be taken for the next request's response
             return
         try:
@@ -110,9 +140,9 @@
     def eof_received(self) -> bool:
         """The endpoint has closed its side in order, which completes a response without a length.
 
-        The transport closes our side.  A reset is not reported here.
+        The transport then closes this side.  A reset is not reported here.
         """
-        if self._request is not None:
+        if self._state is ConnectionState.IN_FLIGHT:
             self._reader.end_of_input()
             if self._response is not None:
                 self._complete(self._response)
@@ -124,20 +154,25 @@
         self._fail(Outcome.RESET)
 
     def _fail(self, outcome: Outcome) -> None:
+        """Close, and end the request in flight if there is one."""
         request = self._request
         self.abort()
         if request is not None:
             request.end(outcome)
 
     def _on_response(self, message: HttpMessage) -> None:
-        """The first complete message is the response; the parser may still be inside the same input."""
+        """Take the first complete message as the response; the reader is still inside the same input."""
         self._reader.stop()
         self._response = message
 
     def _complete(self, response: HttpMessage) -> None:
-        """Report the response.  A connection that brought more than that must not carry another request."""
+        """Report the response.
+
+        A connection on which more came than the response must not carry another request.
+        """
         request, self._request, self._response = self._request, None, None
         if response.keep_alive and self.is_open() and not self._reader.surplus:
+            self._state = ConnectionState.IDLE
             self._reader.resume()
             self._acknowledge()
             self._owner.connection_released(self)
@@ -147,18 +182,19 @@
             request.end(_outcome_of(response), response)
 
     def _acknowledge(self) -> None:
-        """Have the response acknowledged at once, not up to 40 ms later or with the next request.
+        """Acknowledge the response at once, rather than up to 40 ms later or with the next request.
 
-        A sender without TCP_NODELAY holds back a second small write until then: surplus would arrive right
-        behind the next request and be taken for its response.
+        A sender without TCP_NODELAY holds back a second small write until the acknowledgement: surplus would
+        arrive right behind the next request and be taken for its response.
         """
         assert self._transport is not None
-        connection = self._transport.get_extra_info("socket")
+        transport_socket = self._transport.get_extra_info("socket")
         with contextlib.suppress(OSError):
-            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 1)
+            transport_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 1)
 
 
 def _outcome_of(response: HttpMessage) -> Outcome:
+    """The outcome that a complete response stands for."""
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504) and response.headers.get(NOT_RUN) == b"1":
--- a/load_balancer/proxy/upstream/connection_opener.py
+++ b/load_balancer/proxy/upstream/connection_opener.py
@@ -147,7 +147,7 @@
         if waiting is None:
             return
         waiting.cancel_timers()
-        request.held_up_locally = True
+        request.mark_held_up()
         if waiting.local_failures == 0:
             log.warning("connect_failed_locally endpoint=%s problem=%s", pool.name, error)
         delay_s = min(MAX_LOCAL_RETRY_S, FIRST_LOCAL_RETRY_S * 2.0**waiting.local_failures)
--- a/load_balancer/proxy/upstream/request.py
+++ b/load_balancer/proxy/upstream/request.py
@@ -8,6 +8,7 @@
 
 import asyncio
 from abc import ABC, abstractmethod
+from enum import Enum
 from typing import TYPE_CHECKING
 
 from load_balancer.events import Outcome
@@ -16,8 +17,8 @@
 if TYPE_CHECKING:
     from load_balancer.proxy.upstream.connection import UpstreamConnection
 
-# An attempt with less time left is not written: its server could not answer in it, and the time is told in
-# milliseconds.  The loop's clock has that resolution, too.
+# A request with less time left is not written: the endpoint could not answer within it.  The X-Deadline
+# header and the loop's clock have a resolution of one millisecond.
 MIN_TIME_LEFT_S = 0.002
 
 
@@ -46,49 +47,86 @@
         return True
 
 
+class RequestState(Enum):
+    """Where a request is on its way to its one outcome.
+
+    A request passes to a later state of this list only:
+
+    ======================  ==========================================================
+    from                    to
+    ======================  ==========================================================
+    WAITING                 CONNECT_HELD_UP, WRITTEN, ENDED
+    CONNECT_HELD_UP         WRITTEN, ENDED
+    WRITTEN                 ENDED
+    ======================  ==========================================================
+    """
+
+    WAITING = "waiting"
+    """It waits for a connection."""
+    CONNECT_HELD_UP = "connect held up"
+    """It waits for a connection, and the node's own machine has failed to open one."""
+    WRITTEN = "written"
+    """Its bytes were handed to a socket: it may have run."""
+    ENDED = "ended"
+    """Its outcome has been reported."""
+
+
+_OUTCOME_AT_DEADLINE = {
+    RequestState.WAITING: Outcome.CONNECT_FAILED,
+    RequestState.CONNECT_HELD_UP: Outcome.NOT_SENT,  # the endpoint is not to blame
+    RequestState.WRITTEN: Outcome.TIMEOUT,
+}
+
+
 class UpstreamRequest:
     """One request to an endpoint: an attempt or a health check.  It ends once, with one outcome.
 
     Attributes:
-        outbound: what is sent, and who learns the outcome.
+        outbound: what is sent, and the receiver of the outcome.
         deadline: when it times out, in the loop's time.
-        connection: the connection that carries it, until it ends.
-        held_up_locally: whether the node's own machine has failed to connect for it.
-        written: whether its bytes were handed to a socket, so that it may have run.
-        ended: whether the outcome has been reported.
     """
 
-    __slots__ = (
-        "_deadline_timer",
-        "connection",
-        "deadline",
-        "ended",
-        "held_up_locally",
-        "outbound",
-        "written",
-    )
+    __slots__ = ("_connection", "_deadline_timer", "_state", "deadline", "outbound")
 
     def __init__(self, outbound: OutboundRequest, timeout_s: float) -> None:
         loop = asyncio.get_running_loop()
         self.outbound = outbound
         self.deadline = loop.time() + timeout_s
-        self.connection: UpstreamConnection | None = None
-        self.held_up_locally = False
-        self.written = False
-        self.ended = False
-        self._deadline_timer = loop.call_later(timeout_s, self._time_out)
+        self._state = RequestState.WAITING
+        self._connection: UpstreamConnection | None = None  # the one that carries it, while it is WRITTEN
+        self._deadline_timer = loop.call_later(timeout_s, self._on_deadline)
+
+    @property
+    def written(self) -> bool:
+        """Whether it is in flight: its bytes were handed to a socket and no outcome has come."""
+        return self._state is RequestState.WRITTEN
+
+    @property
+    def ended(self) -> bool:
+        """Whether the outcome has been reported."""
+        return self._state is RequestState.ENDED
 
     def has_time_left(self) -> bool:
         """Whether it can still be written and answered before its deadline."""
         return self.deadline - asyncio.get_running_loop().time() >= MIN_TIME_LEFT_S
 
+    def mark_held_up(self) -> None:
+        """Record that the node's own machine has failed to connect for it."""
+        if self._state is RequestState.WAITING:
+            self._state = RequestState.CONNECT_HELD_UP
+
+    def mark_written(self, connection: UpstreamConnection) -> None:
+        """Record that this connection carries it from now on."""
+        self._connection = connection
+        self._state = RequestState.WRITTEN
+
     def end(self, outcome: Outcome, response: HttpMessage | None = None) -> None:
         """Report the outcome; does nothing where one was reported before."""
-        if self.ended:
+        if self._state is RequestState.ENDED:
             return
-        self.ended = True
+        self._state = RequestState.ENDED
         self._deadline_timer.cancel()
-        self.connection = None
+        self._connection = None
         self.outbound.on_end(outcome, response)
 
     def cancel(self, outcome: Outcome) -> None:
@@ -96,13 +134,9 @@
 
         The connection is closed as well, so that a late response cannot reach another request.
         """
-        connection = self.connection
-        if not self.ended and connection is not None:
-            connection.abort()
+        if self._connection is not None:
+            self._connection.abort()
         self.end(outcome)
 
-    def _time_out(self) -> None:
-        if self.written:
-            self.cancel(Outcome.TIMEOUT)
-        else:
-            self.cancel(Outcome.NOT_SENT if self.held_up_locally else Outcome.CONNECT_FAILED)
+    def _on_deadline(self) -> None:
+        self.cancel(_OUTCOME_AT_DEADLINE[self._state])
