--- a/load_balancer/proxy/upstream/endpoint_pool.py
+++ b/load_balancer/proxy/upstream/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one endpoint that are idle, and how long they may be idle to be used again."""
+"""The idle connections to one endpoint, and which of them carries the next request."""
 
 from __future__ import annotations
 
@@ -8,17 +8,10 @@
 from load_balancer.events import Endpoint
 from load_balancer.proxy.address import Address
 from load_balancer.proxy.upstream.connection import UpstreamConnection
+from load_balancer.proxy.upstream.idle_timeout import IdleTimeout
 
-IDLE_TIMEOUT_FRACTION = 0.5  # of the time after which an endpoint closes: a request must never cross that
-# Endpoints may close idle connections sooner than they are configured to, and a request that crosses that
-# close may have run.  One that has closed an idle connection, or reset a request on one, has its connections
-# used for half as long from then on, and after some time as before.  A close right behind a response says
-# nothing: it is seen before the next request.
-MIN_RECORDED_IDLE_S = 0.05
-IDLE_TIMEOUT_RECOVERY = 1.03  # factor at each pass of the idle reaper
 # Surplus that an endpoint sends behind a response must not be taken for the next response.  It may come some
-# milliseconds late: up to 4 ms were measured in two runs with joining and failing endpoints, and this leaves
-# some margin above that.
+# milliseconds late: up to 4 ms were measured, and this leaves some margin above that.
 REUSE_DELAY_S = 0.02
 
 
@@ -29,18 +22,17 @@
         name: the endpoint's id as text, for log lines.
         address: host and port.
         endpoint: its row in the endpoint list, as it is listed now.
-        idle_timeout_s: how long a connection may have been idle to be used again.
+        idle_timeout: how long a connection may have been idle to be used again.
     """
 
     __slots__ = (
         "_idle",
         "_loop",
-        "_max_idle_timeout_s",
         "_open_connections",
         "_retired",
         "address",
         "endpoint",
-        "idle_timeout_s",
+        "idle_timeout",
         "name",
     )
 
@@ -63,8 +55,7 @@
         self.name = endpoint.id.decode(errors="replace")
         self.address = address
         self.endpoint = endpoint
-        self.idle_timeout_s = max_idle_timeout_s
-        self._max_idle_timeout_s = max_idle_timeout_s
+        self.idle_timeout = IdleTimeout(max_idle_timeout_s)
         self._open_connections = open_connections
         self._idle: list[UpstreamConnection] = []  # in the order in which they became idle
         self._retired = False
@@ -87,10 +78,10 @@
 
     @property
     def oldest_idle_since(self) -> float:
-        """Since when the connection that has been idle for longest is so; infinite where none is idle."""
+        """When the connection that has been idle for longest became idle; infinite where none is idle."""
         return self._idle[0].idle_since if self._idle else math.inf
 
-    # What a connection reports: ConnectionOwner.
+    # Callbacks of connections: ConnectionOwner.
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
         """A connection came up."""
@@ -105,25 +96,20 @@
         self._idle.append(connection)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """A connection has closed: if the endpoint closed it while it was kept, keep others for less long."""
+        """A connection has closed; if the endpoint closed it, record how long it had been idle."""
         self._open_connections.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
-            self._record_close_after(self._loop.time() - connection.idle_since)
+            self.idle_timeout.record_close(self._loop.time() - connection.idle_since)
         elif connection.in_use:
-            self._record_close_after(connection.idle_before_request_s)
+            self.idle_timeout.record_close(connection.idle_before_request_s)
 
-    def _record_close_after(self, idle_s: float) -> None:
-        """The endpoint closed a connection that had been idle for so long."""
-        if idle_s >= MIN_RECORDED_IDLE_S:
-            self.idle_timeout_s = min(self.idle_timeout_s, IDLE_TIMEOUT_FRACTION * idle_s)
-
-    # What the node does with idle connections.
+    # Idle connections.
 
     def take_idle(self) -> UpstreamConnection | None:
-        """Take out the connection used last among those that have been idle for REUSE_DELAY_S.
+        """Take out the most recently used connection of those that have been idle for REUSE_DELAY_S.
 
-        Those found on the way that have been idle for too long, or have unread input, are closed.
+        The search closes the connections on its way that have been idle for too long or have unread input.
         """
         now = self._loop.time()
         for i in range(len(self._idle) - 1, -1, -1):
@@ -132,7 +118,7 @@
             if idle_s < REUSE_DELAY_S:
                 continue
             del self._idle[i]
-            if idle_s <= self.idle_timeout_s and connection.has_no_unread_input():
+            if idle_s <= self.idle_timeout.current_s and connection.has_no_unread_input():
                 return connection
             connection.abort()
         return None
@@ -153,9 +139,9 @@
         self.close_idle()
 
     def reap_idle(self, now: float) -> None:
-        """Close what has been idle for too long; the idle timeout recovers by one step."""
-        self.idle_timeout_s = min(self._max_idle_timeout_s, IDLE_TIMEOUT_RECOVERY * self.idle_timeout_s)
-        expired = [c for c in self._idle if now - c.idle_since > self.idle_timeout_s]
+        """Close the connections that have been idle for too long; the idle timeout recovers by one step."""
+        self.idle_timeout.recover()
+        expired = [c for c in self._idle if now - c.idle_since > self.idle_timeout.current_s]
         for connection in expired:
             self._idle.remove(connection)
             connection.abort()
--- a/load_balancer/proxy/upstream/pools.py
+++ b/load_balancer/proxy/upstream/pools.py
@@ -10,7 +10,8 @@
 from load_balancer.proxy.upstream.connection import UpstreamConnection
 from load_balancer.proxy.upstream.connection_limit import ConnectionLimit
 from load_balancer.proxy.upstream.connection_opener import ConnectionOpener
-from load_balancer.proxy.upstream.endpoint_pool import IDLE_TIMEOUT_FRACTION, EndpointPool
+from load_balancer.proxy.upstream.endpoint_pool import EndpointPool
+from load_balancer.proxy.upstream.idle_timeout import IDLE_TIMEOUT_FRACTION
 from load_balancer.proxy.upstream.listed_pools import ListedPools
 from load_balancer.proxy.upstream.request import MIN_TIME_LEFT_S, OutboundRequest, UpstreamRequest
 
--- a/tests/proxy/upstream/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -74,24 +74,24 @@
 @async_test
 async def test_early_close_by_endpoint_shortens_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """A request that crosses the close may have run: one that must not run twice is lost with it."""
-    monkeypatch.setattr("load_balancer.proxy.upstream.endpoint_pool.MIN_RECORDED_IDLE_S", 0.0)
+    monkeypatch.setattr("load_balancer.proxy.upstream.idle_timeout.MIN_RECORDED_IDLE_S", 0.0)
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
         (pool,) = harness.pools.pools
-        configured = pool.idle_timeout_s
+        configured = pool.idle_timeout.current_s
         await harness.send()
         endpoint.writers[0].close()
         await until(lambda: not harness.pools.open_connections)
-        assert pool.idle_timeout_s < configured
-        pool.idle_timeout_s = 0.0
+        assert pool.idle_timeout.current_s < configured
+        pool.idle_timeout.current_s = 0.0
         await harness.send()
         await until(lambda: asyncio.get_running_loop().time() > pool.oldest_idle_since)
         await harness.send()
         assert (
             endpoint.accepted_connections == 3
         ), "a connection was used that had been idle for longer than the timeout"
-        pool.idle_timeout_s = configured / 2
+        pool.idle_timeout.current_s = configured / 2
         harness.pools.reap_idle()
-        assert configured / 2 < pool.idle_timeout_s < configured, "the timeout recovers over time"
+        assert configured / 2 < pool.idle_timeout.current_s < configured, "the timeout recovers over time"
 
 
 @async_test
