--- a/load_balancer/proxy/discovery/endpoint_listing.py
+++ b/load_balancer/proxy/discovery/endpoint_listing.py
@@ -18,10 +18,10 @@
 
 
 class ListingError(Exception):
-    """An endpoint list that cannot be read.
+    """The value is no endpoint list.
 
     Attributes:
-        problem: the field at fault and what is wrong with it.
+        problem: the field at fault and its error.
     """
 
     def __init__(self, problem: str) -> None:
@@ -34,9 +34,9 @@
     """An endpoint list, or changes to one.
 
     Attributes:
-        version: discovery's number of the state that this leads to.
+        version: discovery's number of the state after this list or change.
         complete: whether this names all endpoints; otherwise it names those that have changed.
-        endpoints: what is said of each endpoint.
+        endpoints: the endpoints in the order of the list.
         addresses: where the endpoints listen, by id.
     """
 
@@ -46,7 +46,7 @@
     addresses: dict[EndpointId, Address]
 
     def event(self, *, cached: bool = False) -> EndpointListUpdate:
-        """This as an event of the policy; cached marks a list that may be out of date."""
+        """The event for the policy; cached marks a list that may be out of date."""
         return EndpointListUpdate(self._kind(cached), self.endpoints, self.version)
 
     def _kind(self, cached: bool) -> EndpointListKind:
@@ -57,18 +57,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ListingReader:
-    """Reads endpoint lists, with the names of zones and machine types turned into the policy's numbers.
+    """Reads endpoint lists; translates the names of zones and machine types into the policy's indices.
 
     Attributes:
         zones: the names of the zones, in the order of the settings.
-        models: the names of the machine types, in the order of the settings.
+        machine_types: the names of the machine types, in the order of the settings.
     """
 
     zones: tuple[str, ...]
-    models: tuple[str, ...]
+    machine_types: tuple[str, ...]
 
     def read(self, raw: Any) -> EndpointListing:
-        """Read one decoded JSON value.
+        """Translate one decoded JSON value.
 
         Raises:
             ListingError: the value is no endpoint list.
@@ -99,7 +99,7 @@
             id=item["instanceId"].encode(),
             state=_STATES[item["lifecycle"]],
             weight=_finite(item.get("weight", 1.0)),
-            machine_type=_index_of(item.get("machineType", ""), self.models),
+            machine_type=_index_of(item.get("machineType", ""), self.machine_types),
             zone=_index_of(item.get("zone", ""), self.zones),
             cell=_index_of(item.get("cell", 0), ()),
             started_ms=_finite(item.get("startedAtMs", 0)),
@@ -107,6 +107,7 @@
 
 
 def _finite(value: Any) -> float:
+    """The value as a number.  ValueError where it is infinite or not a number."""
     number = float(value)
     if not math.isfinite(number):
         raise ValueError(f"{value} is not a finite number")
@@ -114,9 +115,9 @@
 
 
 def _index_of(name: Any, known_names: tuple[str, ...]) -> int:
-    """The index of a name; one that the settings do not list still tells its endpoints from the others.
+    """The index of a name in the settings, or for another name an index that is its own.
 
-    The number of such a name is computed and not remembered: over a long day new names must not add up.
+    The index of another name is computed from it rather than stored, so that new names take no memory.
     """
     if isinstance(name, int):
         return name
--- a/load_balancer/proxy/discovery/json_stream.py
+++ b/load_balancer/proxy/discovery/json_stream.py
@@ -1,9 +1,8 @@
-"""Splits a stream of JSON objects into its objects, however they are spread over lines and pieces of input.
+"""Splits a stream of JSON objects into its objects, in any layout and any pieces of input.
 
-A watch first had one object a line; now an object may also be indented over several lines, and blank lines
-between objects are heartbeats.  Malformed input must be detected as soon as its line is complete, and not be
-waited on: no JSON token contains a line break, so a remainder that is no token at the end of a line never
-becomes one.
+An object may stand on one line or be indented over several lines; blank lines between objects are heartbeats.
+Malformed input is detected as soon as its line is complete, without waiting for more: no JSON token contains
+a line break, so a remainder that is no token at the end of a line never becomes one.
 """
 
 from __future__ import annotations
@@ -14,8 +13,8 @@
 MAX_OBJECT_BYTES = 4 * 1024 * 1024  # an endpoint list of some ten thousand endpoints
 MAX_DEPTH = 32  # far deeper than an endpoint list; reading a deeper object would exhaust the stack
 
-# Whatever stands between two brackets; possessive, so that no input causes backtracking.  A number may go on
-# in the next piece of input: it is complete only with the character that ends it.
+# All tokens between two brackets; possessive, so that no input causes backtracking.  A number may continue in
+# the next piece of input: it is complete only with the character that ends it.
 _BETWEEN_BRACKETS = re.compile(
     rb'(?:[ \t\r\n,:]++|"(?:[^"\\\x00-\x1f]++|\\[^\x00-\x1f])*+"'
     rb"|-?[0-9][0-9.eE+-]*+(?=[ \t\r\n,\]}])|true|false|null)*+"
@@ -29,7 +28,7 @@
     """The input is no sequence of JSON objects, or an object exceeds a limit.
 
     Attributes:
-        problem: what is wrong with the input.
+        problem: the error, for log lines.
     """
 
     def __init__(self, problem: str) -> None:
@@ -38,7 +37,7 @@
 
 
 class JsonObjectStream:
-    """Collects pieces of input and gives each complete object as text."""
+    """Collects pieces of input and returns each complete object as text."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -51,7 +50,7 @@
         return self._depth > 0
 
     def feed(self, piece: bytes) -> Iterator[bytes]:
-        """Take in a piece of input and give the objects that it completes.
+        """Take in a piece of input and yield the objects that it completes.
 
         Raises:
             MalformedStreamError: the stream cannot be read from here on.
@@ -72,7 +71,7 @@
             raise MalformedStreamError(f"an object of more than {MAX_OBJECT_BYTES} bytes")
 
     def _next_bracket(self) -> bytes | None:
-        """Scan up to the next bracket and give it; None where more input is needed first."""
+        """Scan up to the next bracket and return it; None where more input is needed first."""
         begin = self._scanned
         found = _BETWEEN_BRACKETS.match(self._buffer, begin)
         assert found is not None  # the pattern matches the empty string, too
--- a/tests/proxy/discovery/__init__.py
+++ b/tests/proxy/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of load_balancer.proxy.discovery.endpoint_discovery."""
+"""Tests of load_balancer.proxy.discovery."""
--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Which watch is kept: one that falls silent is replaced, and a move of discovery is followed."""
+"""Silent watches are replaced, and moves of discovery are followed."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 import pytest
 
 from load_balancer.policy.endpoints import POLL_BACKOFF_MAX_MS
-from load_balancer.proxy.discovery import endpoint_discovery
 from load_balancer.proxy.discovery import watch as discovery_watch
+from load_balancer.proxy.discovery import watch_timing
+from load_balancer.proxy.discovery.endpoint_discovery import DiscoveryState
 from load_balancer.proxy.node import Node
 from tests.proxy.async_support import TIMEOUT_S, async_test, until
 from tests.proxy.node_environment import NodeEnvironment, running_node
 from tests.proxy.stub_discovery import StubDiscovery, listing, row, send_line
 from tests.proxy.stub_server import StubServer, reply
 
-NOTIFIED_S = 6.0  # so long after a watch fell silent, what it missed counts as notified
+NOTIFIED_S = 6.0  # after a watch fell silent: what it missed counts as notified from then on
 
 
 async def _bodies(environment: NodeEnvironment, requests: int) -> set[bytes]:
-    """The bodies that so many requests on one connection are answered with."""
+    """The bodies of the responses to this many requests on one connection."""
     client = await environment.connect_client()
     return {(await client.fetch("look")).body for _ in range(requests)}
 
@@ -30,9 +31,9 @@
 
 
 def test_timeouts_leave_time_for_third_watch() -> None:
-    """With the longest timeouts and pauses, where lists are pushed and where they are polled."""
-    pushed = endpoint_discovery.MAX_RESPONSE_TIMEOUT_S + endpoint_discovery.MAX_RECONNECT_DELAY_S
-    polled = endpoint_discovery.MAX_RESPONSE_TIMEOUT_S + POLL_BACKOFF_MAX_MS / 1000.0
+    """With the longest timeouts and delays, where lists are pushed and where they are polled."""
+    pushed = watch_timing.MAX_RESPONSE_TIMEOUT_S + watch_timing.MAX_RECONNECT_DELAY_S
+    polled = watch_timing.MAX_RESPONSE_TIMEOUT_S + POLL_BACKOFF_MAX_MS / 1000.0
     silence = discovery_watch.SILENCE_TIMEOUT_S
     assert discovery_watch.HEARTBEAT_INTERVAL_S < silence <= NOTIFIED_S - 2 * pushed
     assert 2 * polled < NOTIFIED_S and silence + polled < NOTIFIED_S
@@ -43,7 +44,7 @@
 async def test_change_missed_by_silent_watch_arrives_in_time_though_next_watch_fails(mode: str) -> None:
     """In real time: the watch falls silent, and the next one is accepted without a response.
 
-    No setting prolongs that, however rarely it allows lists to be polled.
+    The time does not depend on the settings, even where these allow polls only rarely.
     """
     rare_polls = {"mustAskInMs": 600_000.0, "stopSendingWithinMs": 20_000.0}
     loop = asyncio.get_running_loop()
@@ -88,7 +89,7 @@
 
 @async_test
 async def test_watch_without_response_is_reopened() -> None:
-    """While discovery is down its agent is silent; its return must not wait for a watch opened before."""
+    """While discovery is down its agent is silent; a watch that was opened then must not be waited for."""
     guarantees = {"mustAskInMs": 60_000.0, "stopSendingWithinMs": 250.0}
     async with (
         StubServer([reply("200 OK")]) as endpoint,
@@ -112,8 +113,12 @@
     node.reload()
 
 
+def _state(environment: NodeEnvironment) -> DiscoveryState:
+    return environment.endpoint_discovery.state
+
+
 async def _reconnect_timer(environment: NodeEnvironment) -> asyncio.TimerHandle:
-    """The timer of the pause before a watch is opened again, once that pause has begun."""
+    """The timer of the reconnect backoff, once that has begun."""
     timer = await until(lambda: environment.endpoint_discovery.reconnect_timer)
     assert timer is not None
     return timer
@@ -121,7 +126,7 @@
 
 @async_test
 async def test_second_move_cancels_reconnect_to_first(tmp_path: Path) -> None:
-    """The pause after the first must not open another watch, whose end would close the one that works."""
+    """The backoff after the first must not open another watch, whose end would close the one that works."""
     config = tmp_path / "config.json"
     async with (
         StubServer([reply("200 OK")]) as endpoint,
@@ -134,12 +139,14 @@
         _move(environment.node, config, first.address)
         (await first.watch()).transport.abort()
         reconnect_timer = await _reconnect_timer(environment)
+        assert _state(environment) is DiscoveryState.MOVE_BACKOFF
         _move(environment.node, config, second.address)
         assert reconnect_timer.cancelled()
         send_line(await second.watch(), listing(3, reset=False))
         await until(lambda: environment.endpoint_discovery.version == 3)
         await asyncio.wait_for(environment.discovery.disconnected.wait(), TIMEOUT_S)
         assert second.watches.empty() and len(first.targets) == 1
+        assert _state(environment) is DiscoveryState.WATCHING
 
 
 @async_test
@@ -152,7 +159,9 @@
     ):
         (await environment.discovery.watch()).transport.abort()
         reconnect_timer = await _reconnect_timer(environment)
+        assert _state(environment) is DiscoveryState.RECONNECT_BACKOFF
         _move(environment.node, config, moved.address)
+        assert _state(environment) is DiscoveryState.MOVING
         assert reconnect_timer.cancelled()
         send_line(await moved.watch(), listing(3, row("a", endpoint.address)))
         await until(lambda: environment.endpoint_discovery.version == 3)
--- a/tests/proxy/discovery/test_endpoint_listing.py
+++ b/tests/proxy/discovery/test_endpoint_listing.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery writes them, and those that are rejected."""
+"""Reading of endpoint lists as discovery writes them, and rejection of malformed ones."""
 
 from __future__ import annotations
 
--- a/tests/proxy/discovery/test_json_stream.py
+++ b/tests/proxy/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Objects found in a stream of JSON, and input that is none."""
+"""Objects of a JSON stream in any layout, and malformed input."""
 
 from __future__ import annotations
 
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""What comes on one watch, and the ways in which the watch ends."""
+"""Input on one watch, and the ways in which the watch ends."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 async def test_malformed_list_reopens_watch_with_one_log_line(
     pieces: tuple[bytes, ...], monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The last of them is cut off, and only the heartbeats of an unchanged list follow."""
+    """In the last case the object is cut off, and only heartbeats follow."""
     monkeypatch.setattr(discovery_watch, "OBJECT_TIMEOUT_S", 0.05)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
--- a/tests/proxy/upstream/__init__.py
+++ b/tests/proxy/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of load_balancer.proxy.upstream.pools."""
+"""Tests of load_balancer.proxy.upstream."""
