--- a/load_balancer/proxy/discovery/endpoint_discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -70,8 +70,7 @@
     Where lists are pushed, the watch is with the agent on the node's own machine: it costs nothing, is opened
     without a poll of the policy, and its failures say nothing about the list.  When discovery moves, the
     watch at the new address is up before the old one is closed; a failure is reported only when neither is
-    left.
-    See DiscoveryState.
+    left.  See DiscoveryState.
     """
 
     def __init__(
--- a/load_balancer/proxy/http/rendering.py
+++ b/load_balancer/proxy/http/rendering.py
@@ -22,7 +22,7 @@
     """A complete response to a client.
 
     Args:
-        status: one of the status codes that the node gives.
+        status: a status code of _REASON_PHRASES.
         body: the content.
         extra: complete header lines, each with its line end.
         close: whether the connection closes after this response.
@@ -38,9 +38,9 @@
 
 
 def render_request_head(message: HttpMessage, host: bytes) -> bytes:
-    """The part of the head that all attempts of a request share: everything but the deadline.
+    """The part of the head that all attempts of a request share: all but the deadline and the empty line.
 
-    The empty line that ends a head is left to the caller, which adds the deadline of each attempt.
+    The sender of an attempt appends these two.
     """
     lines = [
         b"%s %s HTTP/1.1\r\n" % (message.method, message.target),
