--- a/load_balancer/proxy/http/reader.py
+++ b/load_balancer/proxy/http/reader.py
@@ -72,14 +72,14 @@
 class ReaderState(Enum):
     """Which part of a message the reader expects.
 
-    ======================  ======================  ==============================================
+    ======================  ======================  ===================================================
     from                    to                      when
-    ======================  ======================  ==============================================
+    ======================  ======================  ===================================================
     HEAD                    BODY                    the head is complete
-    HEAD                    BODY_UNTIL_CLOSE        so, and it is a response without a length
+    HEAD                    BODY_UNTIL_CLOSE        the head of a response without a length is complete
     BODY                    HEAD                    the message is complete
     BODY_UNTIL_CLOSE        HEAD                    its sender has closed in order
-    ======================  ======================  ==============================================
+    ======================  ======================  ===================================================
 
     Apart from the state, an error ends the reading, and the owner may stop the reader between messages.
     """
--- a/tests/proxy/upstream/harness.py
+++ b/tests/proxy/upstream/harness.py
@@ -1,4 +1,4 @@
-"""Starts requests to fake endpoints and collects their outcomes."""
+"""Starts requests to stub servers and collects their outcomes."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         return await self.start(timeout_s, endpoint_id)[1]
 
     def update(self, version: int, *rows: dict[str, Any], reset: bool = True) -> list[EndpointId]:
-        """Have the pools follow an endpoint list; gives the endpoints that were replaced."""
+        """Have the pools follow an endpoint list; returns the endpoints that were replaced."""
         return self.pools.update(endpoint_listing(version, *rows, reset=reset))
 
 
--- a/tests/proxy/upstream/test_connection.py
+++ b/tests/proxy/upstream/test_connection.py
@@ -1,4 +1,4 @@
-"""What an endpoint sends back, and the one outcome that its request ends with."""
+"""Responses of an endpoint, and the one outcome of its request."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     ("behaviour", "expected"),
     [
         (reply("200 OK", b"body"), Outcome.OK),
-        # A response without a length lasts until an orderly close, and a reset is none.
+        # A response without a length lasts until an orderly close, which a reset is not.
         (raw(NO_LENGTH_HEAD + b"body", close=True), Outcome.OK),
         (raw(NO_LENGTH_HEAD + b"x" * 65537, close=True), Outcome.MALFORMED_RESPONSE),
         (then_reset(NO_LENGTH_HEAD + b"body"), Outcome.RESET),
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("surplus", [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1", b"\x07noise", b"H"])
 @async_test
 async def test_surplus_behind_response_is_not_next_response(surplus: bytes) -> None:
-    """The next request starts at the very moment of the response, while its piece of input is being read."""
+    """The next request starts while the piece of input with the response is still being read."""
     both = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1" + surplus)
     async with StubServer([both, reply("200 OK", b"2")]) as endpoint, upstream(endpoint.address) as harness:
         later: list[asyncio.Future[OutcomeAndBody]] = []
--- a/tests/proxy/upstream/test_connection_opener.py
+++ b/tests/proxy/upstream/test_connection_opener.py
@@ -1,11 +1,9 @@
-"""Connections that come up late, and the requests that wait for them."""
+"""Connections that come up late or fail locally, and the requests that wait for them."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
-import os
-from typing import Any
 
 import pytest
 
@@ -14,33 +12,10 @@
 from tests.proxy.async_support import TIMEOUT_S, async_test, until
 from tests.proxy.stub_discovery import row
 from tests.proxy.stub_server import StubServer, reply, when_released
+from tests.proxy.upstream.connects import FailingConnects, LateConnections
 from tests.proxy.upstream.harness import upstream
 
 
-class LateConnections:
-    """Holds every connection back until it is let come up, in any order.
-
-    Attributes:
-        gates: for each connection that was begun, in order, what lets it come up.
-    """
-
-    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        loop = asyncio.get_running_loop()
-        self.gates: list[asyncio.Event] = []
-        self._create_connection = loop.create_connection
-        monkeypatch.setattr(loop, "create_connection", self._connect_late)
-
-    async def _connect_late(self, factory: Any, host: str, port: int, **options: Any) -> Any:
-        gate = asyncio.Event()
-        self.gates.append(gate)
-        await gate.wait()
-        return await self._create_connection(factory, host, port, **options)
-
-    async def begun(self, count: int) -> None:
-        """Wait until so many connections were begun."""
-        await until(lambda: len(self.gates) >= count)
-
-
 @async_test
 async def test_raced_connection_carries_the_request_when_the_first_is_late(
     monkeypatch: pytest.MonkeyPatch,
@@ -123,29 +98,6 @@
         assert not endpoint.received and not harness.pools.pools[0].has_idle
 
 
-class FailingConnects:
-    """The node's own machine can open no connection until it is over.
-
-    Attributes:
-        failed: how many connects have failed so.
-        over: connects work from now on.
-    """
-
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, error: int) -> None:
-        loop = asyncio.get_running_loop()
-        self.failed = 0
-        self.over = False
-        self._error = error
-        self._create_connection = loop.create_connection
-        monkeypatch.setattr(loop, "create_connection", self._connect)
-
-    async def _connect(self, factory: Any, host: str, port: int, **options: Any) -> Any:
-        if not self.over:
-            self.failed += 1
-            raise OSError(self._error, os.strerror(self._error))
-        return await self._create_connection(factory, host, port, **options)
-
-
 @async_test
 async def test_request_waits_until_the_machine_can_connect_again(monkeypatch: pytest.MonkeyPatch) -> None:
     for error in (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN, errno.ENFILE, errno.ENOBUFS):
--- a/tests/proxy/upstream/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -19,7 +19,7 @@
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_connection_with_unread_input_is_not_reused() -> None:
-    """What came behind a response and was not read yet would be taken for the next response."""
+    """Unread surplus behind a response would be taken for the next response."""
     behaviours = [reply("200 OK", b"1"), reply("200 OK", b"2")]
     async with StubServer(behaviours) as endpoint, upstream(endpoint.address) as harness:
         assert await harness.send() == (Outcome.OK, b"1")
@@ -33,7 +33,7 @@
 
 
 def _without_nodelay(*behaviours: Behaviour) -> Behaviour:
-    """Behave so where the system holds back small writes until the last one is acknowledged."""
+    """These behaviours, on a socket that holds back small writes until the last one is acknowledged."""
 
     async def behave(server: StubServer, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 0)
@@ -46,7 +46,7 @@
 
 @async_test
 async def test_surplus_that_the_system_holds_back_is_not_the_next_response() -> None:
-    """It leaves its sender with the acknowledgement of the response, at the latest with the next request."""
+    """The surplus is sent at the acknowledgement of the response, at the latest with the next request."""
     single = _without_nodelay(reply("200 OK", b"answer"))
     doubled = _without_nodelay(reply("200 OK", b"answer"), reply("200 OK", b"surplus"))
     exchanges = 8  # after a few of them the system acknowledges with the next data, or after 40 ms
