--- a/load_balancer/proxy/upstream/request.py
+++ b/load_balancer/proxy/upstream/request.py
@@ -8,7 +8,7 @@
 
 import asyncio
 from abc import ABC, abstractmethod
-from enum import Enum
+from enum import Enum, auto
 from typing import TYPE_CHECKING
 
 from load_balancer.events import Outcome
@@ -48,26 +48,25 @@
 
 
 class RequestState(Enum):
-    """Where a request is on its way to its one outcome.
-
-    A request passes to a later state of this list only:
-
-    ======================  ==========================================================
-    from                    to
-    ======================  ==========================================================
-    WAITING                 CONNECT_HELD_UP, WRITTEN, ENDED
-    CONNECT_HELD_UP         WRITTEN, ENDED
-    WRITTEN                 ENDED
-    ======================  ==========================================================
+    """How far a request has come.  A state is followed by a later one of this list only.
+
+    ===============  ===============  ====================================================
+    from             to               when
+    ===============  ===============  ====================================================
+    WAITING          CONNECT_HELD_UP  a connect has failed on the node's own machine
+    WAITING          WRITTEN          a connection carries it
+    CONNECT_HELD_UP  WRITTEN          a connection carries it
+    any              ENDED            its outcome is known
+    ===============  ===============  ====================================================
     """
 
-    WAITING = "waiting"
+    WAITING = auto()
     """It waits for a connection."""
-    CONNECT_HELD_UP = "connect held up"
+    CONNECT_HELD_UP = auto()
     """It waits for a connection, and the node's own machine has failed to open one."""
-    WRITTEN = "written"
+    WRITTEN = auto()
     """Its bytes were handed to a socket: it may have run."""
-    ENDED = "ended"
+    ENDED = auto()
     """Its outcome has been reported."""
 
 
