--- a/load_balancer/proxy/discovery/endpoint_discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -10,7 +10,7 @@
 from load_balancer.proxy.address import Address
 from load_balancer.proxy.discovery.endpoint_listing import EndpointListing, ListingError, ListingReader
 from load_balancer.proxy.discovery.watch import DiscoveryWatch
-from load_balancer.proxy.discovery.watch_timing import watch_timing
+from load_balancer.proxy.discovery.watch_timing import WatchTiming
 
 
 class ListingHandler(Protocol):
@@ -98,7 +98,7 @@
         self._address = address
         self._listing_reader = listing_reader
         self._pushed = pushed
-        self._timing = watch_timing(pushed=pushed, poll_timeout_s=poll_timeout_s, drain_grace_s=drain_grace_s)
+        self._timing = WatchTiming(pushed=pushed, poll_timeout_s=poll_timeout_s, drain_grace_s=drain_grace_s)
         self._on_listing = on_listing
         self._on_failure = on_failure
         self._loop = asyncio.get_running_loop()
--- a/load_balancer/proxy/discovery/watch_timing.py
+++ b/load_balancer/proxy/discovery/watch_timing.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 # A pushed list is kept by an agent on the node's own machine.  The agent answers at once and counts what it
 # has as notified: a delay in reading it is taken from the drain grace, the time within which the node must
 # stop sending to a draining endpoint, and must leave most of it.
@@ -15,38 +13,33 @@
 MAX_RECONNECT_DELAY_S = 0.25
 
 
-@dataclass(frozen=True, slots=True)
 class WatchTiming:
-    """The times of the watches of one node.
+    """The times that the settings leave for the watches of a node.
 
     Attributes:
         response_timeout_s: how long the first input of a watch may take.
         reconnect_delay_s: how long after the end of a watch the next one is opened.
     """
 
-    response_timeout_s: float
-    reconnect_delay_s: float
-
-
-def watch_timing(*, pushed: bool, poll_timeout_s: float, drain_grace_s: float) -> WatchTiming:
-    """The times that the settings leave for watches.
-
-    Args:
-        pushed: whether lists are pushed by an agent.
-        poll_timeout_s: how long the policy waits for a poll.
-        drain_grace_s: the time within which sending to a draining endpoint must stop.
-    """
-    response_timeout_s = MAX_RESPONSE_TIMEOUT_S
-    if pushed:
-        response_timeout_s = _clamp(
-            RESPONSE_TIMEOUT_FRACTION * drain_grace_s, MIN_RESPONSE_TIMEOUT_S, MAX_RESPONSE_TIMEOUT_S
-        )
-    return WatchTiming(
-        response_timeout_s=min(poll_timeout_s, response_timeout_s),
-        reconnect_delay_s=_clamp(
+    __slots__ = ("reconnect_delay_s", "response_timeout_s")
+
+    def __init__(self, *, pushed: bool, poll_timeout_s: float, drain_grace_s: float) -> None:
+        """Compute the times.
+
+        Args:
+            pushed: whether lists are pushed by an agent.
+            poll_timeout_s: how long the policy waits for a poll.
+            drain_grace_s: the time within which sending to a draining endpoint must stop.
+        """
+        response_timeout_s = MAX_RESPONSE_TIMEOUT_S
+        if pushed:
+            response_timeout_s = _clamp(
+                RESPONSE_TIMEOUT_FRACTION * drain_grace_s, MIN_RESPONSE_TIMEOUT_S, MAX_RESPONSE_TIMEOUT_S
+            )
+        self.response_timeout_s = min(poll_timeout_s, response_timeout_s)
+        self.reconnect_delay_s = _clamp(
             RECONNECT_DELAY_FRACTION * drain_grace_s, MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S
-        ),
-    )
+        )
 
 
 def _clamp(value: float, lowest: float, highest: float) -> float:
--- a/load_balancer/proxy/upstream/waiting_request.py
+++ b/load_balancer/proxy/upstream/waiting_request.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Callable
-from enum import Enum, auto
 
 from load_balancer.events import Outcome
 from load_balancer.proxy.upstream.connection import UpstreamConnection
@@ -12,28 +11,17 @@
 from load_balancer.proxy.upstream.request import UpstreamRequest
 
 
-class WaitState(Enum):
-    """Where a request stands that has no connection yet.
-
-    It is CONNECTING or BACKING_OFF, in turn, until it is OVER.  A raced connection may still come up while it
-    is BACKING_OFF.
-    """
-
-    CONNECTING = auto()
-    """Connections are being opened for it, until the connect timeout."""
-    BACKING_OFF = auto()
-    """A connect has failed on the node's own machine; the next one follows after a backoff."""
-    OVER = auto()
-    """It waits no longer: it was written or has ended."""
-
-
 class WaitingRequest:
     """A request without a connection yet, and its timers.
 
+    It connects and backs off in turn until it is over.  It connects until the connect timeout, where further
+    connections are raced against a late one.  It backs off after a connect that failed on the node's own
+    machine; a connection that was raced before may still come up then.
+
     Attributes:
         pool: the pool of its endpoint.
         request: the request.
-        state: see WaitState.
+        is_over: whether it waits no longer, as it was written or has ended.
         connects: how many connections have been started since it last began to connect.
         local_failures: how many of its connects have failed on the node's own machine.
     """
@@ -43,37 +31,30 @@
         "_next_connect",
         "_timeout",
         "connects",
+        "is_over",
         "local_failures",
         "pool",
         "request",
-        "state",
     )
 
     def __init__(self, pool: EndpointPool, request: UpstreamRequest) -> None:
         self.pool = pool
         self.request = request
-        self.state = WaitState.CONNECTING
+        self.is_over = False
         self.connects = 0
         self.local_failures = 0
         self._timeout: asyncio.TimerHandle | None = None
         self._next_connect: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
-    @property
-    def is_over(self) -> bool:
-        """Whether it waits no longer."""
-        return self.state is WaitState.OVER
-
     def begin_connecting(self, timeout_s: float, on_timeout: Callable[[WaitingRequest], None]) -> None:
         """Start the connect timeout."""
-        self.state = WaitState.CONNECTING
         self.connects = 0
         self._timeout = self._loop.call_later(timeout_s, on_timeout, self)
 
     def begin_backoff(self, delay_s: float, on_end: Callable[[WaitingRequest], None]) -> None:
         """Stop the connect timeout and the race; call back after this delay."""
         self._cancel_timers()
-        self.state = WaitState.BACKING_OFF
         self._next_connect = self._loop.call_later(delay_s, on_end, self)
 
     def schedule_race(self, delay_s: float, start_race: Callable[[WaitingRequest], None]) -> None:
@@ -82,7 +63,7 @@
 
     def finish(self) -> None:
         """Wait no longer."""
-        self.state = WaitState.OVER
+        self.is_over = True
         self._cancel_timers()
 
     def needs_connection(self) -> bool:
