--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -188,7 +188,7 @@
             ),
             Edit(
                 "load_balancer/proxy/upstream/connection.py",
-                "        if self._state is not ConnectionState.IN_FLIGHT:\n            self.abort()",
+                "        if self._state is not _IN_FLIGHT:\n            self.abort()",
                 "        if False:\n            self.abort()",
             ),
             Edit(
--- a/load_balancer/proxy/http/reader.py
+++ b/load_balancer/proxy/http/reader.py
@@ -92,7 +92,7 @@
     """The body of a response that lasts until its sender closes the connection."""
 
 
-# The reader compares its state for each header: a global is looked up faster than a member.
+# Python 3.11 looks up a member of an enum slowly, and these are used for each header.
 _HEAD = ReaderState.HEAD
 _BODY = ReaderState.BODY
 _BODY_UNTIL_CLOSE = ReaderState.BODY_UNTIL_CLOSE
--- a/load_balancer/proxy/upstream/connection.py
+++ b/load_balancer/proxy/upstream/connection.py
@@ -45,6 +45,13 @@
     """It is closed, or being closed by this node; what still comes is not read."""
 
 
+# Python 3.11 looks up a member of an enum slowly, and these are used for each request.
+_CONNECTING = ConnectionState.CONNECTING
+_IDLE = ConnectionState.IDLE
+_IN_FLIGHT = ConnectionState.IN_FLIGHT
+_CLOSED = ConnectionState.CLOSED
+
+
 class ConnectionOwner(Protocol):
     """Registers connections and decides which of them are kept between requests."""
 
@@ -70,7 +77,7 @@
         self._endpoint_name = endpoint_name
         self._owner = owner
         self._idle_before_request_s = 0.0
-        self._state = ConnectionState.CONNECTING
+        self._state = _CONNECTING
         self._request: UpstreamRequest | None = None  # set exactly while IN_FLIGHT
         self._response: HttpMessage | None = None  # set from its last byte until it is reported
         self._reader = HttpReader(self._on_response, requests=False)
@@ -80,7 +87,7 @@
     @property
     def in_use(self) -> bool:
         """Whether a request is in flight on it."""
-        return self._state is ConnectionState.IN_FLIGHT
+        return self._state is _IN_FLIGHT
 
     @property
     def idle_before_request_s(self) -> float:
@@ -103,14 +110,14 @@
         assert self._transport is not None
         now = self._loop.time()
         self._idle_before_request_s = now - self.idle_since if self.idle_since else 0.0
-        self._state = ConnectionState.IN_FLIGHT
+        self._state = _IN_FLIGHT
         self._request = request
         request.mark_written(self)
         self._transport.write(request.outbound.render(request.deadline - self._loop.time()))
 
     def abort(self) -> None:
         """Close at once; input that still comes is not read, and no outcome is reported."""
-        self._state = ConnectionState.CLOSED
+        self._state = _CLOSED
         self._request = None
         if self._transport is not None:
             self._transport.abort()
@@ -120,12 +127,12 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection came up."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
-        self._state = ConnectionState.IDLE
+        self._state = _IDLE
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Read a piece of the response."""
-        if self._state is not ConnectionState.IN_FLIGHT:
+        if self._state is not _IN_FLIGHT:
             self.abort()  # unsolicited bytes must not be taken for the next request's response
             return
         try:
@@ -142,7 +149,7 @@
 
         The transport then closes this side.  A reset is not reported here.
         """
-        if self._state is ConnectionState.IN_FLIGHT:
+        if self._state is _IN_FLIGHT:
             self._reader.end_of_input()
             if self._response is not None:
                 self._complete(self._response)
@@ -172,7 +179,7 @@
         """
         request, self._request, self._response = self._request, None, None
         if response.keep_alive and self.is_open() and not self._reader.surplus:
-            self._state = ConnectionState.IDLE
+            self._state = _IDLE
             self._reader.resume()
             self._acknowledge()
             self._owner.connection_released(self)
--- a/load_balancer/proxy/upstream/request.py
+++ b/load_balancer/proxy/upstream/request.py
@@ -70,10 +70,17 @@
     """Its outcome has been reported."""
 
 
+# Python 3.11 looks up a member of an enum slowly, and these are used for each request.
+_WAITING = RequestState.WAITING
+_CONNECT_HELD_UP = RequestState.CONNECT_HELD_UP
+_WRITTEN = RequestState.WRITTEN
+_ENDED = RequestState.ENDED
+
+
 _OUTCOME_AT_DEADLINE = {
-    RequestState.WAITING: Outcome.CONNECT_FAILED,
-    RequestState.CONNECT_HELD_UP: Outcome.NOT_SENT,  # the endpoint is not to blame
-    RequestState.WRITTEN: Outcome.TIMEOUT,
+    _WAITING: Outcome.CONNECT_FAILED,
+    _CONNECT_HELD_UP: Outcome.NOT_SENT,  # the endpoint is not to blame
+    _WRITTEN: Outcome.TIMEOUT,
 }
 
 
@@ -91,19 +98,19 @@
         loop = asyncio.get_running_loop()
         self.outbound = outbound
         self.deadline = loop.time() + timeout_s
-        self._state = RequestState.WAITING
+        self._state = _WAITING
         self._connection: UpstreamConnection | None = None  # the one that carries it, while it is WRITTEN
         self._deadline_timer = loop.call_later(timeout_s, self._on_deadline)
 
     @property
     def written(self) -> bool:
         """Whether it is in flight: its bytes were handed to a socket and no outcome has come."""
-        return self._state is RequestState.WRITTEN
+        return self._state is _WRITTEN
 
     @property
     def ended(self) -> bool:
         """Whether the outcome has been reported."""
-        return self._state is RequestState.ENDED
+        return self._state is _ENDED
 
     def has_time_left(self) -> bool:
         """Whether it can still be written and answered before its deadline."""
@@ -111,19 +118,19 @@
 
     def mark_held_up(self) -> None:
         """Record that the node's own machine has failed to connect for it."""
-        if self._state is RequestState.WAITING:
-            self._state = RequestState.CONNECT_HELD_UP
+        if self._state is _WAITING:
+            self._state = _CONNECT_HELD_UP
 
     def mark_written(self, connection: UpstreamConnection) -> None:
         """Record that this connection carries it from now on."""
         self._connection = connection
-        self._state = RequestState.WRITTEN
+        self._state = _WRITTEN
 
     def end(self, outcome: Outcome, response: HttpMessage | None = None) -> None:
         """Report the outcome; does nothing where one was reported before."""
-        if self._state is RequestState.ENDED:
+        if self._state is _ENDED:
             return
-        self._state = RequestState.ENDED
+        self._state = _ENDED
         self._deadline_timer.cancel()
         self._connection = None
         self.outbound.on_end(outcome, response)
