--- a/tests/proxy/upstream/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -19,7 +19,7 @@
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_connection_with_unread_input_is_not_reused() -> None:
-    """What came behind a response and was not read yet would be taken for the next response."""
+    """Unread surplus behind a response would be taken for the next response."""
     behaviours = [reply("200 OK", b"1"), reply("200 OK", b"2")]
     async with StubServer(behaviours) as endpoint, upstream(endpoint.address) as harness:
         assert await harness.send() == (Outcome.OK, b"1")
@@ -33,7 +33,7 @@
 
 
 def _without_nodelay(*behaviours: Behaviour) -> Behaviour:
-    """Behave so where the system holds back small writes until the last one is acknowledged."""
+    """These behaviours, on a socket that holds back small writes until the last one is acknowledged."""
 
     async def behave(server: StubServer, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 0)
@@ -46,7 +46,7 @@
 
 @async_test
 async def test_surplus_that_the_system_holds_back_is_not_the_next_response() -> None:
-    """It leaves its sender with the acknowledgement of the response, at the latest with the next request."""
+    """The surplus is sent at the acknowledgement of the response, at the latest with the next request."""
     single = _without_nodelay(reply("200 OK", b"answer"))
     doubled = _without_nodelay(reply("200 OK", b"answer"), reply("200 OK", b"surplus"))
     exchanges = 8  # after a few of them the system acknowledges with the next data, or after 40 ms
@@ -74,24 +74,24 @@
 @async_test
 async def test_early_close_by_endpoint_shortens_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """A request that crosses the close may have run: one that must not run twice is lost with it."""
-    monkeypatch.setattr("load_balancer.proxy.upstream.endpoint_pool.MIN_RECORDED_IDLE_S", 0.0)
+    monkeypatch.setattr("load_balancer.proxy.upstream.idle_timeout.MIN_RECORDED_IDLE_S", 0.0)
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
         (pool,) = harness.pools.pools
-        configured = pool.idle_timeout_s
+        configured = pool.idle_timeout.current_s
         await harness.send()
         endpoint.writers[0].close()
         await until(lambda: not harness.pools.open_connections)
-        assert pool.idle_timeout_s < configured
-        pool.idle_timeout_s = 0.0
+        assert pool.idle_timeout.current_s < configured
+        pool.idle_timeout.current_s = 0.0
         await harness.send()
         await until(lambda: asyncio.get_running_loop().time() > pool.oldest_idle_since)
         await harness.send()
         assert (
             endpoint.accepted_connections == 3
         ), "a connection was used that had been idle for longer than the timeout"
-        pool.idle_timeout_s = configured / 2
+        pool.idle_timeout.current_s = configured / 2
         harness.pools.reap_idle()
-        assert configured / 2 < pool.idle_timeout_s < configured, "the timeout recovers over time"
+        assert configured / 2 < pool.idle_timeout.current_s < configured, "the timeout recovers over time"
 
 
 @async_test
