--- a/load_balancer/proxy/downstream/response_slot.py
+++ b/load_balancer/proxy/downstream/response_slot.py
@@ -5,14 +5,18 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from load_balancer.proxy.downstream.client_transport import ClientTransport
 from load_balancer.proxy.http.rendering import render_response
 
 
 class SlotConnection(Protocol):
-    """What a response slot needs of the connection that its request came on."""
+    """What a response slot needs of the connection that its request came on.
 
-    def client_has_left(self) -> bool:
-        """Whether the client's end has closed, as seen on the socket."""
+    Attributes:
+        transport: the connection's transport.
+    """
+
+    transport: ClientTransport
 
     def end_after_client_left(self) -> None:
         """End everything that waits on the connection."""
@@ -67,7 +71,7 @@
         The event loop reports it in a later iteration only, or not while the connection is not read.  Where
         it is found here, everything that waits on the connection ends.
         """
-        if not self.abandoned and self._connection.client_has_left():
+        if not self.abandoned and self._connection.transport.client_has_left():
             self._connection.end_after_client_left()
         return self.abandoned
 
--- a/load_balancer/proxy/downstream/server.py
+++ b/load_balancer/proxy/downstream/server.py
@@ -7,11 +7,20 @@
 from collections.abc import Callable
 
 from load_balancer.proxy.descriptors import overflow_of
-from load_balancer.proxy.downstream.connection import EVICTABLE_AFTER_S, REAP_INTERVAL_S, DownstreamConnection
-from load_balancer.proxy.downstream.eviction import EvictionPriority, EvictionQueues
+from load_balancer.proxy.downstream.connection import DownstreamConnection
+from load_balancer.proxy.downstream.connection_state import IDLE
+from load_balancer.proxy.downstream.eviction import (
+    EVICTABLE_AFTER_S,
+    EvictionPriority,
+    EvictionQueues,
+    evict,
+    eviction_priority,
+    is_evictable,
+)
 from load_balancer.proxy.downstream.listener import Listener
 from load_balancer.proxy.downstream.request_parsing import ParsedRequest, RequestParser
 from load_balancer.proxy.downstream.response_slot import ResponseSlot
+from load_balancer.proxy.downstream.timeouts import REAP_INTERVAL_S, enforce_timeouts
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError
 from load_balancer.proxy.observability.counters import CloseReason, NodeCounters
@@ -128,7 +137,7 @@
         new connection is closed has been refused.  Nor those with a request that is only to be read.
         """
         self.draining = True
-        idle = [c for c in self._connections if c.is_idle() and c.answered and not c.has_unread_input()]
+        idle = [c for c in self._connections if c.phase is IDLE and c.answered and not c.has_unread_input()]
         for connection in idle:
             connection.close(CloseReason.DRAINED)
 
@@ -172,7 +181,7 @@
         self._reap_timer = self._loop.call_later(REAP_INTERVAL_S, self._reap)
         now = self.now()
         for connection in list(self._connections):
-            connection.enforce_timeouts(now)
+            enforce_timeouts(connection, now)
 
     def reading_paused(self, connection: DownstreamConnection) -> None:
         """From now on only a poll of its socket reveals that this client has left."""
@@ -189,7 +198,7 @@
 
     def _check_disconnects(self) -> None:
         self._disconnect_timer = None
-        for connection in [c for c in self._paused if c.client_has_left()]:
+        for connection in [c for c in self._paused if c.transport.client_has_left()]:
             self._paused.discard(connection)
             connection.end_after_client_left()
         if self._paused:
@@ -201,7 +210,7 @@
         """More connections than the limit, and none could be evicted: new requests are refused."""
         return len(self._connections) > self.max_connections
 
-    def newcomer_grace_s(self) -> float:
+    def _unused_grace_s(self) -> float:
         """For how long a connection that brought no request yet is spared when places are short.
 
         Where such connections fill half of the table they are a crowd, and none of them is waited for.  In a
@@ -214,7 +223,7 @@
 
     def update_eviction(self, connection: DownstreamConnection) -> None:
         """Queue the connection for eviction by its present priority, behind the others."""
-        priority = connection.eviction_priority() if connection in self._connections else None
+        priority = eviction_priority(connection) if connection in self._connections else None
         self._eviction_queues.enqueue(connection, priority)
 
     def eviction_priority_of(self, connection: DownstreamConnection) -> EvictionPriority | None:
@@ -224,11 +233,12 @@
     def evict_one(self, newest: DownstreamConnection | None = None) -> bool:
         """Close the connection that is evicted most readily; returns whether there was one."""
         now = self.now()
+        unused_grace_s = self._unused_grace_s()
         for connection in self._eviction_queues.candidates():
-            if connection is not newest and connection.is_evictable(now):
+            if connection is not newest and is_evictable(connection, now, unused_grace_s):
                 self._forget(connection)
                 self._evicted.add(connection)
-                connection.evict()
+                evict(connection)
                 return True
         return False
 
--- a/tests/proxy/blocking_client.py
+++ b/tests/proxy/blocking_client.py
@@ -51,6 +51,6 @@
     client.setblocking(False)
     await asyncio.get_running_loop().sock_connect(client, environment.address)
     (connection,) = await until(lambda: list(environment.node.downstream.connections))
-    assert connection.client_socket is not None
-    connection.client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
+    assert connection.transport.client_socket is not None
+    connection.transport.client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
     return connection
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -7,11 +7,10 @@
 
 import pytest
 
-from load_balancer.proxy.downstream.connection import (
-    IDLE_TIMEOUT_S,
-    MAX_PIPELINED_REQUESTS,
-    REQUEST_TIMEOUT_S,
-)
+from load_balancer.proxy.downstream.connection import MAX_PIPELINED_REQUESTS, DownstreamConnection
+from load_balancer.proxy.downstream.connection_state import ConnectionPhase, ConnectionState
+from load_balancer.proxy.downstream.eviction import evict
+from load_balancer.proxy.downstream.timeouts import IDLE_TIMEOUT_S, REQUEST_TIMEOUT_S, enforce_timeouts
 from tests.proxy.async_support import TIMEOUT_S, async_test, until
 from tests.proxy.blocking_client import (
     answered_client,
@@ -54,17 +53,17 @@
         with socket.socket() as client:
             connection = await connect_with_small_buffers(client, environment)
             await loop.sock_sendall(client, request("look", extra="Connection: close\r\n"))
-            await until(lambda: connection.finished)
-            assert connection.has_unsent_output(), "the test needs a response beyond the buffers"
+            await until(lambda: connection.state is ConnectionState.FINISHED)
+            assert connection.transport.has_unsent_output(), "the test needs a response beyond the buffers"
             checks = 0
-            abort_when_sent = connection.abort_when_sent
+            abort_when_sent = DownstreamConnection.abort_when_sent
 
-            def counted() -> None:
+            def counted(checked: DownstreamConnection) -> None:
                 nonlocal checks
                 checks += 1
-                abort_when_sent()
+                abort_when_sent(checked)
 
-            monkeypatch.setattr(connection, "abort_when_sent", counted)
+            monkeypatch.setattr(DownstreamConnection, "abort_when_sent", counted)
             await until(lambda: checks > 2)
             received = b""
             while part := await loop.sock_recv(client, 4096):
@@ -95,8 +94,8 @@
 async def test_missing_first_request_times_out(
     begun: bytes, status: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("load_balancer.proxy.downstream.connection.FIRST_REQUEST_TIMEOUT_S", 0.05)
-    monkeypatch.setattr("load_balancer.proxy.downstream.connection.UNUSED_IDLE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("load_balancer.proxy.downstream.timeouts.FIRST_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("load_balancer.proxy.downstream.timeouts.UNUSED_IDLE_TIMEOUT_S", 0.05)
     async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         client = await environment.connect_client()
         client.writer.write(begun)
@@ -126,12 +125,13 @@
             connection = await connect_with_small_buffers(client, environment)
             await loop.sock_sendall(client, request("look"))
             await until(lambda: connection.answered)
-            assert connection.has_unsent_output(), "the test needs a response beyond the buffers"
+            assert connection.transport.has_unsent_output(), "the test needs a response beyond the buffers"
             await loop.sock_sendall(client, open_requests(1))
             await until(lambda: len(endpoint.received) == 2)
             client.shutdown(socket.SHUT_WR)
             await until(lambda: not environment.node.requests)
-            assert connection.has_unsent_output(), "the test needs a response that is still being sent"
+            transport = connection.transport
+            assert transport.has_unsent_output(), "the test needs a response that is still being sent"
             endpoint.release.set()
 
 
@@ -181,13 +181,12 @@
         with client:
             if within:
                 client.sendall(text[:30])
-                await until(lambda: connection.is_receiving_request)
+                await until(lambda: connection.phase is ConnectionPhase.RECEIVING)
             client.sendall(text[30 if within else 0 :])
             timeout_s = REQUEST_TIMEOUT_S if within else IDLE_TIMEOUT_S
-            connection.enforce_timeouts(
-                connection.waiting_since + timeout_s + 0.01
-            )  # before the loop's next iteration
+            # Before the loop's next iteration.
+            enforce_timeouts(connection, connection.waiting_since + timeout_s + 0.01)
             responses = asyncio.create_task(read_to_end(client))
             await until(lambda: len(endpoint.received) == 2)
-            connection.evict()
+            evict(connection)
             assert (await responses).count(b"200 OK") == 2
--- a/tests/proxy/downstream/test_server.py
+++ b/tests/proxy/downstream/test_server.py
@@ -13,11 +13,12 @@
 import pytest
 
 from load_balancer.proxy.descriptors import MIN_OVERFLOW
+from load_balancer.proxy.downstream import eviction
 from load_balancer.proxy.downstream.connection import (
     PAUSE_READING_AT,
     DownstreamConnection,
 )
-from load_balancer.proxy.downstream.eviction import SCAN_LIMIT, EvictionPriority
+from load_balancer.proxy.downstream.eviction import SCAN_LIMIT, EvictionPriority, evict
 from tests.proxy.async_support import TIMEOUT_S, async_test, until
 from tests.proxy.blocking_client import answered_client, blocking_client, open_requests, read_to_end
 from tests.proxy.node_environment import running_node
@@ -132,7 +133,7 @@
         client.writer.write(open_requests(2))
         await until(lambda: len(endpoint.received) == PAUSE_READING_AT)
         (connection,) = environment.node.downstream.connections
-        assert connection.client_socket is not None and not connection.is_reading
+        assert connection.transport.client_socket is not None and not connection.transport.is_reading
         client.writer.write(open_requests(1))
         await client.writer.drain()
         leave(client)
@@ -161,7 +162,7 @@
             assert connection in environment.node.downstream.connections
             responses = asyncio.create_task(read_to_end(client))
             await until(lambda: len(endpoint.received) == 2)
-            connection.evict()
+            evict(connection)
             assert (await responses).count(b"200 OK") == 2
 
 
@@ -170,13 +171,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     examined: list[DownstreamConnection] = []
-    is_evictable = DownstreamConnection.is_evictable
+    is_evictable = eviction.is_evictable
 
-    def recorded(connection: DownstreamConnection, now: float) -> bool:
+    def recorded(connection: DownstreamConnection, now: float, unused_grace_s: float) -> bool:
         examined.append(connection)
-        return is_evictable(connection, now)
+        return is_evictable(connection, now, unused_grace_s)
 
-    monkeypatch.setattr(DownstreamConnection, "is_evictable", recorded)
+    monkeypatch.setattr("load_balancer.proxy.downstream.server.is_evictable", recorded)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -99,7 +99,7 @@
         client.writer.write(request("look", deadline="600") + request("book", deadline="600"))
         await until(lambda: delayed.opening == 2)
         client.close()
-        await until(lambda: next(iter(environment.node.downstream.connections)).client_has_left())
+        await until(lambda: next(iter(environment.node.downstream.connections)).transport.client_has_left())
         delayed.release.set()
         await until(lambda: not delayed.opening)
         assert nothing_left(environment.node.requests)
