--- a/load_balancer/proxy/downstream/client_transport.py
+++ b/load_balancer/proxy/downstream/client_transport.py
@@ -11,19 +11,26 @@
 
 
 class ClientTransport:
-    """The transport of one connection; it does nothing before the connection is made and after it is lost."""
+    """The transport of one connection; it does nothing before the connection is made and after it is lost.
 
-    __slots__ = ("_transport",)
+    Attributes:
+        is_attached: the connection is made and not lost; it may be closing.
+    """
+
+    __slots__ = ("_transport", "is_attached")
 
     def __init__(self) -> None:
+        self.is_attached = False
         self._transport: asyncio.Transport | None = None
 
     def attach(self, transport: asyncio.BaseTransport) -> None:
         """The connection is made."""
+        self.is_attached = True
         self._transport = typing.cast(asyncio.Transport, transport)  # uvloop's are no subclass
 
     def detach(self) -> None:
         """The connection is lost."""
+        self.is_attached = False
         self._transport = None
 
     # State.
@@ -33,11 +40,6 @@
         """The connection's socket; None while there is no connection."""
         return None if self._transport is None else self._transport.get_extra_info("socket")
 
-    @property
-    def is_attached(self) -> bool:
-        """Whether the connection is made and not lost; it may be closing."""
-        return self._transport is not None
-
     @property
     def is_open(self) -> bool:
         """Whether the connection is made and neither lost nor closing."""
--- a/load_balancer/proxy/downstream/connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -17,7 +17,6 @@
     RESPONSE_DUE,
     ConnectionPhase,
 )
-from load_balancer.proxy.downstream.eviction import EvictionPriority, eviction_priority
 from load_balancer.proxy.downstream.response_queue import ResponseQueue
 from load_balancer.proxy.downstream.response_slot import ResponseSlot
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
@@ -36,6 +35,16 @@
 MAX_DISCARDED_BYTES = 256 * 1024
 
 
+class EvictionTable(typing.Protocol):
+    """Keeps the order in which connections are evicted."""
+
+    def update_eviction(self, connection: DownstreamConnection) -> None:
+        """Queue the connection for eviction by its present priority, behind the others."""
+
+    def refresh_eviction(self, connection: DownstreamConnection) -> None:
+        """Do the same if its priority has changed; else it keeps its place in the queue."""
+
+
 class ConnectionOwner(typing.Protocol):
     """What a connection needs of the server that accepted it."""
 
@@ -43,6 +52,10 @@
     counters: NodeCounters
     rules: RuleMonitor
 
+    @property
+    def table(self) -> EvictionTable:
+        """The connections of the server, which may evict them."""
+
     @property
     def draining(self) -> bool:
         """Whether every response closes its connection."""
@@ -56,12 +69,6 @@
     def connection_closed(self, connection: DownstreamConnection) -> None:
         """A connection is gone."""
 
-    def update_eviction(self, connection: DownstreamConnection) -> None:
-        """Queue the connection for eviction by its present priority, behind the others."""
-
-    def eviction_priority_of(self, connection: DownstreamConnection) -> EvictionPriority | None:
-        """The priority that the connection is queued with."""
-
     def reading_paused(self, connection: DownstreamConnection) -> None:
         """The connection is no longer read."""
 
@@ -242,13 +249,14 @@
         """Send the responses that are due: in order, up to the first that is not known yet."""
         if not self.transport.is_attached:
             return
-        while (slot := self._responses.pop_due()) is not None:
-            assert slot.output is not None
-            self.transport.write(slot.output)
+        responses = self._responses
+        while responses and (output := responses[0].output) is not None:
+            slot = responses.popleft()
+            self.transport.write(output)
             self.owner.counters.responses[slot.status] += 1
             self.waiting_since = self.owner.now()
             self.answered = True
-            self.owner.update_eviction(self)
+            self.owner.table.update_eviction(self)
             if slot.close_after:
                 self._finish()
                 return
@@ -280,7 +288,7 @@
     def _finish(self) -> None:
         """Close after the last response, once the client has had the time to read it."""
         self.state = FINISHED
-        self.owner.update_eviction(self)
+        self.owner.table.update_eviction(self)
         self.end_input()
         self._report_unanswered(CloseReason.LAST_RESPONSE)
         self._responses.abandon_all()
@@ -334,8 +342,7 @@
 
     def _update_reading(self) -> None:
         """Read only as long as responses can be sent: bounds what one client can make the node hold."""
-        if self.owner.eviction_priority_of(self) != eviction_priority(self):
-            self.owner.update_eviction(self)
+        self.owner.table.refresh_eviction(self)
         if not self.transport.is_open:
             return
         if (
--- a/load_balancer/proxy/downstream/response_queue.py
+++ b/load_balancer/proxy/downstream/response_queue.py
@@ -16,12 +16,6 @@
         """Whether no response follows the one in this slot."""
         return bool(self) and self[-1] is slot
 
-    def pop_due(self) -> ResponseSlot | None:
-        """Remove and return the first slot if its response is known; None if it is not, or there is none."""
-        if self and self[0].output is not None:
-            return self.popleft()
-        return None
-
     def count_unanswered(self) -> int:
         """How many slots of clients that have not left have no response."""
         return sum(slot.output is None and not slot.abandoned for slot in self)
--- a/tests/proxy/downstream/test_server.py
+++ b/tests/proxy/downstream/test_server.py
@@ -42,7 +42,7 @@
     ):
         used = await environment.connect_client()
         assert (await used.fetch("look")).status == 200
-        most = environment.node.downstream.max_connections
+        most = environment.node.downstream.table.max_connections
         unused = [await environment.connect_client() for _ in range(most - 1)]
         for client in unused:
             assert (await client.fetch(target="/ready")).status == 200
@@ -61,7 +61,7 @@
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address), sockets=96) as environment,
     ):
-        most = environment.node.downstream.max_connections
+        most = environment.node.downstream.table.max_connections
         idle = [await environment.connect_client() for _ in range(most)]
         for client in idle:
             assert (await client.fetch("look")).status == 200
@@ -79,7 +79,7 @@
         StubServer([silent, reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
-        environment.node.downstream.max_body_bytes = 150
+        environment.node.downstream.router.max_body_bytes = 150
         first = await environment.connect_client()
         first.writer.write(request("book", body=b"x" * 100))
         await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
@@ -100,7 +100,7 @@
         running_node(row("a", endpoint.address), sockets=64) as environment,
     ):
         replace_policy(environment.node, ignore_events)
-        most = environment.node.downstream.max_connections
+        most = environment.node.downstream.table.max_connections
         idle = await environment.connect_client()
         assert (await idle.fetch(target="/ready")).status == 200
         busy = [await environment.connect_client() for _ in range(most)]
@@ -143,7 +143,7 @@
         await until(lambda: not environment.node.requests.attempts_in_flight)
         assert (await (await environment.connect_client()).fetch("look")).status == 200
         assert len(endpoint.received) == PAUSE_READING_AT + 1, "what nobody waited for was forwarded"
-        assert not environment.node.downstream.paused_connections
+        assert not environment.node.downstream.disconnect_poller.connections
 
 
 @async_test
@@ -156,7 +156,7 @@
         client, connection = await answered_client(environment)
         with client:
             client.sendall(request("look"))  # and before the loop's next iteration
-            assert not environment.node.downstream.evict_one(
+            assert not environment.node.downstream.table.evict_one(
                 DownstreamConnection(environment.node.downstream)
             )
             assert connection in environment.node.downstream.connections
@@ -177,17 +177,17 @@
         examined.append(connection)
         return is_evictable(connection, now, unused_grace_s)
 
-    monkeypatch.setattr("load_balancer.proxy.downstream.server.is_evictable", recorded)
+    monkeypatch.setattr("load_balancer.proxy.downstream.connection_table.is_evictable", recorded)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
-        most = environment.node.downstream.max_connections
+        most = environment.node.downstream.table.max_connections
         incomplete = EvictionPriority.REQUEST_INCOMPLETE
         clients = [await environment.connect_client() for _ in range(most)]
         for client in clients:
             client.writer.write(request("look")[:30])  # none of them may be evicted yet
-        await until(lambda: environment.node.downstream.eviction_queues.count(incomplete) == most)
+        await until(lambda: environment.node.downstream.table.eviction_queues.count(incomplete) == most)
         examined.clear()
         new_client = await environment.connect_client()
         await until(lambda: len(environment.node.downstream.connections) == most + 1)
@@ -196,7 +196,7 @@
             client.close()
         new_client.close()
         await until(lambda: not environment.node.downstream.connections)
-        assert not environment.node.downstream.eviction_queues, "a queue holds on to what has gone"
+        assert not environment.node.downstream.table.eviction_queues, "a queue holds on to what has gone"
 
 
 @contextlib.contextmanager
@@ -253,7 +253,7 @@
         running_node(row("a", endpoint.address), sockets=30) as environment,
     ):
         downstream = environment.node.downstream
-        places = downstream.max_connections + MIN_OVERFLOW
+        places = downstream.table.max_connections + MIN_OVERFLOW
         clients = [await environment.connect_client() for _ in range(places)]
         await until(lambda: len(downstream.connections) == places)
         clients.append(await environment.connect_client())
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -9,7 +9,7 @@
 
 from load_balancer.actions import Action
 from load_balancer.events import Event, Outcome, RequestArrived, TimerFired
-from load_balancer.proxy.downstream import server as downstream_server
+from load_balancer.proxy.downstream import disconnect_poller
 from load_balancer.proxy.node import Node
 from tests.proxy.async_support import HOST, TIMEOUT_S, async_test, until
 from tests.proxy.blocking_client import blocking_client
@@ -89,7 +89,7 @@
 @async_test
 async def test_attempt_is_not_written_after_unread_client_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """With two requests open the connection is not read; only the poll of each attempt remains."""
-    monkeypatch.setattr(downstream_server, "DISCONNECT_CHECK_S", TIMEOUT_S)
+    monkeypatch.setattr(disconnect_poller, "DISCONNECT_CHECK_S", TIMEOUT_S)
     async with (
         StubServer([silent]) as endpoint,
         running_node(row("a", endpoint.address), **LONG_CONNECT_TIMEOUT) as environment,
