--- a/load_balancer/proxy/downstream/connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -79,7 +79,7 @@
         """Take a request; returns whether it is one for the servers.  HttpMessageError if it is invalid."""
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """The body of a request that is over no longer counts."""
+        """Count the body of a finished request no longer against the limit."""
 
 
 class DownstreamConnection(asyncio.Protocol):
@@ -134,7 +134,7 @@
         self._reader = HttpReader(self._on_request, requests=True)
         self._responses = ResponseQueue()
         self._accepted_after = accepted_after
-        self._arrived_at_s = 0.0  # what is being read has arrived after this time
+        self._arrived_at_s = 0.0  # the input that is being read has arrived after this time
         self._discarded_bytes = 0
         self._linger_timer: asyncio.TimerHandle | None = None
         self._open_requests_timer: asyncio.TimerHandle | None = None
@@ -175,15 +175,15 @@
         self.owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop with what has arrived."""
+        """Called by the event loop with input."""
         if self.state is not ACCEPTING_REQUESTS:
-            # Reading on reveals when the client leaves, but megabytes are not worth reading for that.
+            # Further reading reveals when the client leaves, but not every amount is worth reading for that.
             self._discarded_bytes += len(data)
             self._update_reading()
             return
         self._arrived_at_s = self.owner.iterations.earliest_arrival()
         if not self.answered and self._arrived_at_s <= self.waiting_since:
-            # It may have come with the connection, and waited as long as that.
+            # It may have arrived together with the connection, and waited in the backlog with it.
             self._arrived_at_s = self._accepted_after
         self.last_input_at = self.owner.now()
         if self.answered and self.phase is IDLE:
@@ -209,18 +209,18 @@
         except HttpMessageError as error:
             self.respond_early(error.status, slot)
         except Exception:
-            # A fault in one request must cost that request alone, and still be answered.
+            # A fault must affect this request only, and it must still get a response.
             log.exception("request_failed")
             slot.respond(500)
 
     def end_input(self) -> None:
-        """Accept no further request: neither from what is being parsed nor from what arrives."""
+        """Accept no further request, neither from the input that is being parsed nor from later input."""
         if self.state is ACCEPTING_REQUESTS:
             self.state = INPUT_ENDED
         self._reader.stop()
 
     def eof_received(self) -> bool:
-        """The client has closed: its requests end, but what was written before may still be sent."""
+        """The client has closed: its requests end, but output that was written before is still sent."""
         self.state = FINISHED
         self._responses.abandon_all()
         return False
@@ -240,13 +240,13 @@
         self._responses.abandon_all()
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """The body of a request that is over no longer counts."""
+        """Count the body of a finished request no longer against the limit."""
         self.owner.release_body(slot)
 
     # Responses out.
 
     def flush(self) -> None:
-        """Send the responses that are due: in order, up to the first that is not known yet."""
+        """Send responses in order, up to the first that is not known yet."""
         if not self.transport.is_attached:
             return
         responses = self._responses
@@ -300,7 +300,7 @@
         self._linger_timer = loop.call_later(LINGER_S, self.abort_when_sent)
 
     def abort_when_sent(self) -> None:
-        """Close, or wait on if the last response has not been sent by now: to abort would cut it off."""
+        """Close, or wait again while the last response is not sent: to abort would cut it off."""
         if self.transport.has_unsent_output():
             self._linger()
         else:
@@ -341,7 +341,7 @@
         self._update_reading()
 
     def _update_reading(self) -> None:
-        """Read only as long as responses can be sent: bounds what one client can make the node hold."""
+        """Read only while responses can be sent; this bounds the memory that one client can take."""
         self.owner.table.refresh_eviction(self)
         if not self.transport.is_open:
             return
--- a/load_balancer/proxy/downstream/connection_table.py
+++ b/load_balancer/proxy/downstream/connection_table.py
@@ -60,10 +60,10 @@
     # Limits.
 
     def is_over_limit(self) -> bool:
-        """More connections than the limit, and none could be evicted: new requests are refused."""
+        """Whether more than the limit are open, as none could be evicted; requests are rejected."""
         return len(self._connections) > self.max_connections
 
-    def has_place(self, opening: int) -> bool:
+    def has_capacity(self, opening: int) -> bool:
         """Whether one more connection may be accepted while this many are being opened.
 
         An evicted connection holds its place until it is closed.
@@ -103,7 +103,7 @@
         return False
 
     def _unused_grace_s(self) -> float:
-        """For how long a connection that brought no request yet is spared when places are short.
+        """For how long a connection that brought no request yet is spared when capacity is short.
 
         Where such connections fill half of the table they are a connection burst, and none of them is spared.
         In a small table one or two of them are half of it without being a burst: their requests are on
--- a/load_balancer/proxy/downstream/listener.py
+++ b/load_balancer/proxy/downstream/listener.py
@@ -1,8 +1,9 @@
-"""The listening socket: accepts connections only while they can be kept, and leaves the others to wait.
+"""The listening socket: accepts connections only while there is capacity for them.
 
-The event loop's own server accepts whatever the system has, and where no descriptor is left its library
-accepts a connection with a spare one and closes it at once.  The system has accepted that connection before,
-so that its request counts as received: here it waits in the backlog instead until it can be served.
+The event loop's own server accepts every connection in the backlog.  Where no descriptor is left, its library
+accepts a connection with a spare descriptor and closes it at once.  The operating system has accepted that
+connection by then, and its request counts as received.  This listener leaves it in the backlog instead, until
+it can be served.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024
-MAX_ACCEPTS = 16  # in one iteration, so that a crowd does not keep those from being read who are accepted
-# Until the backlog is looked at again, where connections cannot be accepted or there is no place for them.
+MAX_ACCEPTS = 16  # in one iteration, so that a connection burst does not delay those that are accepted
+# Until the next attempt to accept, where connections cannot be accepted or there is no capacity for them.
 FIRST_PAUSE_S = 0.01
 MAX_PAUSE_S = 0.1
-MAX_ACCEPT_DELAY_S = 1.0  # none is taken to have waited for longer than this
+MAX_ACCEPT_DELAY_S = 1.0  # no connection is assumed to have waited in the backlog for longer than this
 
 _OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 ConnectionFactory = Callable[[float], DownstreamConnection]
-"""Makes the protocol of a connection that came after this monotonic time, in seconds."""
+"""Makes the protocol of a connection that arrived after this monotonic time, in seconds."""
 
 
 class Listener:
@@ -41,25 +42,29 @@
     """
 
     def __init__(
-        self, create_connection: ConnectionFactory, has_place: Callable[[], bool], iterations: LoopIterations
+        self,
+        create_connection: ConnectionFactory,
+        has_capacity: Callable[[], bool],
+        iterations: LoopIterations,
     ) -> None:
         """Begin with no socket.
 
         Args:
             create_connection: makes the protocol of an accepted connection.
-            has_place: whether one more connection may be accepted now.
+            has_capacity: whether one more connection may be accepted now.
             iterations: bounds the arrival times of connections.
         """
         self.opening = 0
         self._create_connection = create_connection
-        self._has_place = has_place
+        self._has_capacity = has_capacity
         self._iterations = iterations
         self._loop = asyncio.get_running_loop()
         self._socket: socket.socket | None = None
-        self._reading = False
+        self._accepting = False
         self._pause_s = FIRST_PAUSE_S
         self._pause_timer: asyncio.TimerHandle | None = None
-        self._waiting_since: float | None = None  # when the first that still waits may have come
+        # The earliest time at which a connection that is still in the backlog can have arrived.
+        self._waiting_since: float | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     # State.
@@ -68,13 +73,13 @@
         """Whether the system accepts connections for the node."""
         return self._socket is not None
 
-    def has_waiting(self) -> bool:
-        """Whether a client has connected and is not served yet: its request counts as received already."""
+    def has_pending_connections(self) -> bool:
+        """Whether a client has connected and is not served yet; its request counts as received already."""
         if self.opening:
             return True
         return self._socket is not None and poll_socket(self._socket.fileno(), select.POLLIN)
 
-    # Life.
+    # Lifecycle.
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
         """Listen on this address only; returns it with the port that was bound.  OSError if that fails."""
@@ -88,13 +93,13 @@
             listening.close()
             raise
         self._socket = listening
-        self._read()
+        self._start_accepting()
         bound: tuple[str, int] = listening.getsockname()[:2]
         return bound
 
     def close(self) -> None:
         """Stop listening; connections that are being opened are dropped."""
-        self._stop_reading()
+        self._stop_accepting()
         if self._pause_timer is not None:
             self._pause_timer.cancel()
         for task in list(self._tasks):
@@ -105,22 +110,22 @@
 
     # Accepting.
 
-    def _read(self) -> None:
+    def _start_accepting(self) -> None:
         self._pause_timer = None
-        if self._socket is not None and not self._reading:
-            self._reading = True
-            self._loop.add_reader(self._socket.fileno(), self._accept_waiting)
+        if self._socket is not None and not self._accepting:
+            self._accepting = True
+            self._loop.add_reader(self._socket.fileno(), self._accept_pending)
 
-    def _stop_reading(self) -> None:
-        if self._reading and self._socket is not None:
-            self._reading = False
+    def _stop_accepting(self) -> None:
+        if self._accepting and self._socket is not None:
+            self._accepting = False
             self._loop.remove_reader(self._socket.fileno())
 
-    def _accept_waiting(self) -> None:
-        """Accept what waits, up to a bound."""
+    def _accept_pending(self) -> None:
+        """Accept the connections in the backlog, at most MAX_ACCEPTS of them."""
         arrived_after = self._arrived_after()
         for _ in range(MAX_ACCEPTS):
-            if not self._has_place():
+            if not self._has_capacity():
                 self._pause(arrived_after)
                 return
             try:
@@ -129,14 +134,14 @@
                     return
             except OSError as error:
                 if error.errno not in _OUT_OF_RESOURCES:
-                    continue  # that connection broke while it waited
+                    continue  # that connection broke while it was in the backlog
                 log.warning("accept_failed problem=%s", error)
                 self._pause(arrived_after)
                 return
         self._waiting_since = arrived_after
 
     def _arrived_after(self) -> float:
-        """The time after which everything that is accepted now has come."""
+        """The time after which every connection that is accepted now has arrived."""
         arrived_after = self._iterations.earliest_arrival()
         if self._waiting_since is None:
             return arrived_after
@@ -167,15 +172,15 @@
             self.opening -= 1
 
     def _pause(self, waiting_since: float) -> None:
-        """Leave what waits to the backlog for a moment."""
+        """Leave the pending connections in the backlog for a moment."""
         self._waiting_since = waiting_since
-        self._stop_reading()
-        self._pause_timer = self._loop.call_later(self._pause_s, self._read)
+        self._stop_accepting()
+        self._pause_timer = self._loop.call_later(self._pause_s, self._start_accepting)
         self._pause_s = min(MAX_PAUSE_S, 2.0 * self._pause_s)
 
-    def place_freed(self) -> None:
-        """A connection has closed: look at the backlog now if nothing but a place was missing."""
+    def connection_closed(self) -> None:
+        """A connection has closed: accept the pending ones now, if there was no capacity for them."""
         if self._pause_timer is not None:
             self._pause_timer.cancel()
             self._pause_s = FIRST_PAUSE_S
-            self._read()
+            self._start_accepting()
--- a/load_balancer/proxy/downstream/request_parsing.py
+++ b/load_balancer/proxy/downstream/request_parsing.py
@@ -21,7 +21,7 @@
 MAX_DEADLINE_S = 3600.0
 MAX_COST_HINT_US = 1e9
 
-# float() accepts far more than the protocol; languages print up to 50 decimals of what they calculated.
+# float() accepts far more than the protocol does.  Clients print calculated values with up to 50 decimals.
 _DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,64})?")
 
 
@@ -30,10 +30,10 @@
     """A valid request in the terms of the settings.
 
     Attributes:
-        message: the HTTP message that it came as.
+        message: the HTTP message.
         class_index: its class, by position in the settings.
         tenant: its tenant, by position in the settings.
-        key: a hash of the item that it is about, 0 for none.
+        key: a hash of the item that the path names, 0 for none.
         budget_ms: the time that the client grants for the response.
         cost_hint_ms: the client's estimate of its work, None without one.
         is_retry: the client says that it sent the request before.
@@ -58,7 +58,11 @@
         self._required = (REQUEST_ID, CLASS, DEADLINE, *((TENANT,) if self._tenants else ()))
 
     def parse(self, message: HttpMessage, path: bytes) -> ParsedRequest:
-        """The request for a path below /api; HttpMessageError where a header is missing or invalid."""
+        """Parse a request for a path below /api.
+
+        Raises:
+            HttpMessageError: a header is missing, repeated or invalid.
+        """
         headers = message.headers
         for name in self._required:
             if not headers.get(name) or name in message.duplicate_headers:
@@ -82,7 +86,7 @@
 
 
 def _check_method(message: HttpMessage, idempotency: Idempotency) -> None:
-    """Method and idempotency key must agree with the class: what may be retried is decided by the class."""
+    """Check that method and idempotency key fit the class, as the class decides whether to retry."""
     has_key = IDEMPOTENCY_KEY in message.headers
     is_idempotent = idempotency is Idempotency.IDEMPOTENT
     if (
@@ -101,7 +105,7 @@
 
 
 def _parse_cost_hint_ms(text: bytes | None) -> float | None:
-    """A hint is an estimate: one that cannot be read counts as none, and no reason to reject the request."""
+    """Parse the hint; None if it is missing or invalid, as it is only an estimate."""
     try:
         return None if text is None else _parse_decimal(text, "cost hint", MAX_COST_HINT_US) / 1000.0
     except HttpMessageError:
--- a/load_balancer/proxy/downstream/request_router.py
+++ b/load_balancer/proxy/downstream/request_router.py
@@ -72,6 +72,6 @@
         return True
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """The body of a request that is over no longer counts against the limit."""
+        """Count the body of a finished request no longer against the limit."""
         self._body_bytes -= slot.body_bytes
         slot.body_bytes = 0
--- a/load_balancer/proxy/downstream/response_slot.py
+++ b/load_balancer/proxy/downstream/response_slot.py
@@ -1,4 +1,4 @@
-"""The place of the one response to a client's request."""
+"""The slot of the one response to a client's request."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     transport: ClientTransport
 
     def end_after_client_left(self) -> None:
-        """End everything that waits on the connection."""
+        """End all requests of the connection and close it."""
 
     def must_close_after(self, slot: ResponseSlot) -> bool:
         """Whether the connection has to close after the response in this slot."""
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """The body of a request that is over no longer counts."""
+        """Count the body of a finished request no longer against the limit."""
 
     def flush(self) -> None:
         """Send the responses that are due."""
 
 
 class ResponseSlot:
-    """The place of the one response to a request, in the order of the requests on its connection.
+    """Holds the one response to a request until the responses before it on the connection have been sent.
 
     Attributes:
         close_after: the connection closes after this response.
@@ -66,19 +66,22 @@
         self.on_abandoned: Callable[[], None] | None = None
 
     def client_has_left(self) -> bool:
-        """Whether the client has gone by now, as seen on the socket.
+        """Whether the client has left by now, as seen on the socket.
 
-        The event loop reports it in a later iteration only, or not while the connection is not read.  Where
-        it is found here, everything that waits on the connection ends.
+        The event loop reports this in a later iteration, and not at all while the connection is not read.
+        If the client has left, all requests of the connection end.
         """
         if not self.abandoned and self._connection.transport.client_has_left():
             self._connection.end_after_client_left()
         return self.abandoned
 
     def respond(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
-        """Send the response; extra holds whole header lines.
+        """Send the response, unless the client has left or has had its response.
 
-        Nothing is sent to a client that has left, and no second response to any.
+        Args:
+            status: the status code.
+            body: the content.
+            extra: complete header lines, each with its line end.
         """
         if self.abandoned or self.output is not None:
             return
@@ -89,7 +92,7 @@
         self._connection.flush()
 
     def fail(self, status: int) -> None:
-        """Send this status in place of the response that was waited for, if there is none yet."""
+        """Send this status if there is no response yet, and end the request."""
         if self.output is not None:
             return
         on_abandoned = self.on_abandoned
--- a/load_balancer/proxy/downstream/server.py
+++ b/load_balancer/proxy/downstream/server.py
@@ -27,7 +27,7 @@
     Attributes:
         iterations: bounds the arrival times of what is read.
         counters: counts responses and closed connections.
-        rules: gets what is found broken.
+        rules: records rule violations.
         draining: every response closes its connection.
         last_activity: when a connection or a request last came (monotonic, seconds).
         table: the open connections, and their eviction.
@@ -62,7 +62,7 @@
         )
         self.disconnect_poller = DisconnectPoller()
         self._listener = Listener(
-            lambda accepted_after: DownstreamConnection(self, accepted_after), self._has_place, iterations
+            lambda accepted_after: DownstreamConnection(self, accepted_after), self._has_capacity, iterations
         )
         self._loop = asyncio.get_running_loop()
         self._reap_timer = self._loop.call_later(REAP_INTERVAL_S, self._reap)
@@ -86,7 +86,7 @@
     def is_busy(self) -> bool:
         """Whether a response is due, a client is sending, or a connection waits to be accepted."""
         busy = any(c.is_busy() or c.has_unread_input() for c in self.table)
-        return busy or self._listener.has_waiting()
+        return busy or self._listener.has_pending_connections()
 
     # Lifecycle.
 
@@ -121,9 +121,9 @@
 
     # Connections.
 
-    def _has_place(self) -> bool:
-        """Whether one more connection may be accepted; else one is evicted, whose place is free later."""
-        if self.table.has_place(self._listener.opening):
+    def _has_capacity(self) -> bool:
+        """Whether one more connection may be accepted; else one is evicted, which frees its place later."""
+        if self.table.has_capacity(self._listener.opening):
             return True
         self.table.evict_one()
         return False
@@ -139,7 +139,7 @@
         """A connection is gone."""
         self.table.remove(connection)
         self.disconnect_poller.remove(connection)
-        self._listener.place_freed()
+        self._listener.connection_closed()
 
     def reading_paused(self, connection: DownstreamConnection) -> None:
         """From now on only a poll of its socket reveals that this client has left."""
@@ -163,5 +163,5 @@
         return self.router.route(message, slot)
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """The body of a request that is over no longer counts against the limit."""
+        """Count the body of a finished request no longer against the limit."""
         self.router.release_body(slot)
