--- /dev/null
+++ b/tests/proxy/downstream/test_request_router.py
@@ -0,0 +1,32 @@
+"""The limit of the bodies of open requests."""
+
+from __future__ import annotations
+
+import asyncio
+
+from tests.proxy.async_support import TIMEOUT_S, async_test, until
+from tests.proxy.node_environment import running_node
+from tests.proxy.stub_client import request
+from tests.proxy.stub_discovery import row
+from tests.proxy.stub_server import StubServer, reply, silent
+
+
+@async_test
+async def test_bodies_beyond_memory_limit_are_rejected_until_released() -> None:
+    """Clients that send large bodies at the same time must not exceed the memory of the process."""
+    async with (
+        StubServer([silent, reply("200 OK")]) as endpoint,
+        running_node(row("a", endpoint.address)) as environment,
+    ):
+        environment.node.downstream.router.max_body_bytes = 150
+        first = await environment.connect_client()
+        first.writer.write(request("book", body=b"x" * 100))
+        await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
+        response = await (await environment.connect_client()).fetch("book", body=b"x" * 100)
+        assert response.status == 503
+        assert float(response.headers["retry-after"]) > 0
+        assert len(endpoint.received) == 1
+        first.close()
+        await until(lambda: not environment.node.requests)
+        assert (await (await environment.connect_client()).fetch("book", body=b"x" * 100)).status == 200
+        endpoint.release.set()
