--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -9,7 +9,7 @@
 
 from load_balancer.actions import Action
 from load_balancer.events import Event, Outcome, RequestArrived, TimerFired
-from load_balancer.proxy.downstream import server as downstream_server
+from load_balancer.proxy.downstream import disconnect_poller
 from load_balancer.proxy.node import Node
 from tests.proxy.async_support import HOST, TIMEOUT_S, async_test, until
 from tests.proxy.blocking_client import blocking_client
@@ -89,7 +89,7 @@
 @async_test
 async def test_attempt_is_not_written_after_unread_client_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two open requests pause reading, so that only each attempt's poll finds the disconnect."""
-    monkeypatch.setattr(downstream_server, "DISCONNECT_CHECK_S", TIMEOUT_S)
+    monkeypatch.setattr(disconnect_poller, "DISCONNECT_CHECK_S", TIMEOUT_S)
     async with (
         StubServer([silent]) as endpoint,
         running_node(row("a", endpoint.address), **LONG_CONNECT_TIMEOUT) as environment,
@@ -99,7 +99,7 @@
         client.writer.write(request("look", deadline="600") + request("book", deadline="600"))
         await until(lambda: delayed.opening == 2)
         client.close()
-        await until(lambda: next(iter(environment.node.downstream.connections)).client_has_left())
+        await until(lambda: next(iter(environment.node.downstream.connections)).transport.client_has_left())
         delayed.release.set()
         await until(lambda: not delayed.opening)
         assert nothing_left(environment.node.requests)
