--- a/load_balancer/policy/estimators.py
+++ b/load_balancer/estimation/latency.py
@@ -1,13 +1,20 @@
 """Estimates of how long an attempt takes."""
 
+from __future__ import annotations
+
 import math
 from dataclasses import dataclass
 
 from load_balancer.estimation.averages import MeanDeviation
 
 LATENCY_STEP = 0.1
-TIMEOUT_DEVIATIONS = 4.0  # timeout = mean + this many mean deviations, as in TCP's retransmission timeout
-TIMEOUT_MEANS_MIN = 2.0  # and at least this many means, for work that always takes the same time
+"""The smoothing factor of the latency mean and deviation: they span about ten latencies."""
+
+TIMEOUT_DEVIATIONS = 4.0
+"""An attempt is late after the mean and this many mean deviations, as in TCP's retransmission timeout."""
+
+TIMEOUT_MEANS_MIN = 2.0
+"""It is never late before this many means, which matters for work that always takes the same time."""
 
 
 @dataclass(slots=True)
@@ -19,4 +26,6 @@
     def attempt_timeout(self) -> float:
         """After how many milliseconds an attempt counts as late; infinite before the first latency."""
         mean = self.mean
-        return max(mean + TIMEOUT_DEVIATIONS * self.deviation, TIMEOUT_MEANS_MIN * mean) if mean else math.inf
+        if not mean:
+            return math.inf
+        return max(mean + TIMEOUT_DEVIATIONS * self.deviation, TIMEOUT_MEANS_MIN * mean)
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -21,7 +21,7 @@
 from load_balancer.state.context import NodeContext
 from load_balancer.state.records import EndpointRecord, Request
 from load_balancer.state.request_queue import RequestQueue
-from load_balancer.state.timers import TimerKind
+from load_balancer.state.timer_queue import TimerKind
 
 WORK_STEP = 0.02  # the mean cost hint spans about fifty requests
 QUEUE_SCAN_LIMIT = 3  # queued requests without a place that are passed over for others
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -2,8 +2,8 @@
 
 import math
 
+from load_balancer.estimation.latency import LatencyEstimator
 from load_balancer.estimation.rates import FadingRate
-from load_balancer.policy.estimators import LatencyEstimator
 from load_balancer.state.context import NodeContext
 
 TARGET_RATIO = 0.4  # latencies are kept below this part of the objective, less for inner tiers
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -6,7 +6,7 @@
 from load_balancer.events import EndpointListKind, EndpointListUpdate
 from load_balancer.policy.automaton import Automaton
 from load_balancer.state.context import NodeContext
-from load_balancer.state.timers import TimerKind
+from load_balancer.state.timer_queue import TimerKind
 
 # Whatever the settings allow after a failed poll, a change counts as notified 6 s after discovery had it and
 # could be reached: two polls may fail in that time, each waited for and backed off from for this long.
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -8,7 +8,7 @@
 from load_balancer.settings import Idempotency
 from load_balancer.state.context import NodeContext
 from load_balancer.state.records import ClassRecord, EndpointRecord
-from load_balancer.state.timers import TimerKind
+from load_balancer.state.timer_queue import TimerKind
 
 # Failures, always against peers.
 FAILURE_STEP = 0.3  # two failures in a row cross FAILURE_RATE_MIN, one never does
--- a/load_balancer/state/context.py
+++ b/load_balancer/state/context.py
@@ -9,7 +9,7 @@
 from load_balancer.events import EndpointId, RequestId
 from load_balancer.settings import Settings
 from load_balancer.state.records import EndpointTable, RequestTable
-from load_balancer.state.timers import Timer, TimerKind, TimerQueue
+from load_balancer.state.timer_queue import Timer, TimerKind, TimerQueue
 
 
 class NodeContext:
--- a/load_balancer/state/request_queue.py
+++ b/load_balancer/state/request_queue.py
@@ -7,7 +7,7 @@
 
 from load_balancer.state.context import NodeContext
 from load_balancer.state.records import Request
-from load_balancer.state.timers import TimerKind
+from load_balancer.state.timer_queue import TimerKind
 
 
 class RequestQueue:
