--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -9,17 +9,20 @@
 from load_balancer.estimation.averages import RelativeSize
 from load_balancer.policy import admission
 from load_balancer.policy.automaton import Automaton
+from load_balancer.policy.circuit_breakers import CircuitBreakers
 from load_balancer.policy.congestion import CongestionMonitor
+from load_balancer.policy.endpoint_limits import EndpointLimits
 from load_balancer.policy.endpoints import EndpointListPoller, update_endpoints
 from load_balancer.policy.outcomes import OutcomeRecorder
-from load_balancer.policy.outliers import CircuitBreakers, OutlierDetector
+from load_balancer.policy.outliers import OutlierDetector
 from load_balancer.policy.retries import RetryPolicy
 from load_balancer.policy.selection import EndpointSelector, may_send
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subset import EndpointSubset
 from load_balancer.settings import Settings
 from load_balancer.state.context import NodeContext
-from load_balancer.state.records import EndpointRecord, Request
+from load_balancer.state.endpoint_records import EndpointRecord
+from load_balancer.state.records import Request
 from load_balancer.state.request_queue import RequestQueue
 from load_balancer.state.timer_queue import TimerKind
 
@@ -40,11 +43,19 @@
         self.poller = EndpointListPoller(context)
         self.breakers = CircuitBreakers(context)
         self.outliers = OutlierDetector(context, self.subset)
+        self.endpoint_limits = EndpointLimits(context)
         self.concurrency = admission.ConcurrencyLimit(context, slow_start, monitor)
         self.selector = EndpointSelector(context, automaton, self.subset, slow_start, monitor)
         self.retries = RetryPolicy(context, monitor)
         self.outcomes = OutcomeRecorder(
-            context, automaton, slow_start, monitor, self.concurrency, self.breakers, self.outliers
+            context,
+            automaton,
+            slow_start,
+            monitor,
+            self.concurrency,
+            self.breakers,
+            self.outliers,
+            self.endpoint_limits,
         )
         self.queue = RequestQueue(context, admission.QUEUE_CHECK * context.objective_ms)
         self._work = RelativeSize(WORK_STEP)
@@ -73,7 +84,7 @@
     def _on_endpoint_list(self, event: events.EndpointListUpdate) -> None:
         self.poller.on_list(event.kind)
         if event.kind is not events.EndpointListKind.FAILED:
-            update_endpoints(self.context, self.automaton, event)
+            update_endpoints(self.context, self.automaton, self.slow_start, event)
             self.subset.update()
             self.concurrency.on_endpoint_list()
 
@@ -101,7 +112,7 @@
         self.queue.add(request, admission.arrival_timeout(request, event.budget_ms, settings))
 
     def _on_response_started(self, event: events.ResponseStarted) -> None:
-        self.context.requests.attempt(event).record.last_response_at = self.context.now
+        self.outcomes.record_response(self.context.requests.attempt(event).record)
         request = self.context.requests.by_id.get(event.request_id)
         if request is not None:
             request.response_started = True
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -5,6 +5,7 @@
 from load_balancer.actions import PollEndpointList
 from load_balancer.events import EndpointListKind, EndpointListUpdate
 from load_balancer.policy.automaton import Automaton
+from load_balancer.policy.slow_start import SlowStart
 from load_balancer.state.context import NodeContext
 from load_balancer.state.timer_queue import TimerKind
 
@@ -13,11 +14,13 @@
 POLL_BACKOFF_MAX_MS = 6000.0 / 6
 
 
-def update_endpoints(context: NodeContext, automaton: Automaton, event: EndpointListUpdate) -> None:
+def update_endpoints(
+    context: NodeContext, automaton: Automaton, slow_start: SlowStart, event: EndpointListUpdate
+) -> None:
     """Bring the records of endpoints and the automaton up to date with the list."""
     table = context.endpoints
     for record in table.apply(event, len(context.settings.classes), context.now):
-        record.slow_start_tokens, record.slow_start_tokens_at = context.rng.random(), context.now
+        slow_start.begin(record)
     listed = {name: r.endpoint for name, r in table.by_id.items() if r.listed}
     weighted = context.settings.use_endpoint_weights
     weights = {name: max(e.weight, 1e-3) if weighted else 1.0 for name, e in listed.items()}
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -6,7 +6,8 @@
 from load_balancer.policy.outliers import is_silent
 from load_balancer.policy.selection import permitted
 from load_balancer.state.context import NodeContext
-from load_balancer.state.records import EndpointRecord, Request
+from load_balancer.state.endpoint_records import EndpointRecord
+from load_balancer.state.records import Request
 from load_balancer.state.timer_queue import TimerKind
 
 RETRY_EARN = 0.1  # retries and hedged requests for each arrival
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -5,13 +5,15 @@
 
 from load_balancer.policy.admission import sharing_nodes
 from load_balancer.policy.automaton import Automaton
+from load_balancer.policy.circuit_breakers import admits_class
 from load_balancer.policy.congestion import CongestionMonitor
-from load_balancer.policy.outliers import admits_class, is_silent
+from load_balancer.policy.outliers import is_silent
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subset import EndpointSubset
 from load_balancer.settings import DeduplicationScope, Idempotency
 from load_balancer.state.context import NodeContext
-from load_balancer.state.records import EndpointRecord, Request
+from load_balancer.state.endpoint_records import EndpointRecord
+from load_balancer.state.records import Request
 
 PANIC_THRESHOLD = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the servers
 SHARE_TIMES = 1.25  # a node's attempts at one endpoint may exceed its share of all in flight by this factor
@@ -112,7 +114,7 @@
                     flow, least_rate = slow_start.flow_per_warm_server(), slow_start.least_rate()
                 if not slow_start.admits(record, fraction, request.work, flow, least_rate):
                     continue
-            if admits_class(record.classes[class_index], now):
+            if admits_class(record, class_index, now):
                 allowed.append(i)
             else:
                 kept_out += 1
@@ -131,12 +133,13 @@
         for i in allowed:
             record = records[i]
             in_flight = len(record.in_flight)
-            if record.ejected or (in_flight and is_silent(record, timeout, now)):
+            outlier = record.outlier
+            if outlier.ejected or (in_flight and is_silent(record, timeout, now)):
                 unhealthy += 1
                 continue
-            if record.on_trial and (in_flight or self._keep_from_trials(request)):
+            if outlier.on_trial and (in_flight or self._keep_from_trials(request)):
                 continue
-            if record.cooldown_until > now or in_flight + 1 > record.concurrency_limit:
+            if outlier.cooldown_until > now or in_flight + 1 > record.concurrency.limit:
                 continue
             average = averages[i]
             # By Little's law this part of its attempts waits there; a server overloaded for long stays slow
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -2,7 +2,7 @@
 
 from load_balancer.estimation.rates import FadingRate
 from load_balancer.state.context import NodeContext
-from load_balancer.state.records import EndpointRecord
+from load_balancer.state.endpoint_records import EndpointRecord
 
 # The capacity that the settings give a warming server is the least of any: most have half as much again, and
 # fleets have capacity to spare at light load, which is when a warm server's part is learned.
@@ -18,20 +18,25 @@
         # By the work answered: what is sent overloads servers when fewer of them are left.
         self._answered_work = FadingRate(settings.warm_up_ms or 1000.0, settings.overload_window_ms)
 
+    def begin(self, record: EndpointRecord) -> None:
+        """Give a server that has just started a part of a request, so that nodes send at different times."""
+        record.slow_start.tokens = self._context.rng.random()
+        record.slow_start.updated_at = self._context.now
+
     def record_answer(self, record: EndpointRecord, work: float) -> None:
         """Count the work of an answered attempt, which a warming server may get again if all are warming."""
         self._answered_work.add(work, self._context.now)
         if self.capacity_fraction(record) < 1.0 and self.all_warming():
-            record.slow_start_tokens += work
+            record.slow_start.tokens += work
 
     def all_warming(self) -> bool:
         """Whether no endpoint that is not ejected is warm: then nothing tells what a warm one sustains."""
         records = self._context.endpoints.drawable
-        return all(r.ejected or self.capacity_fraction(r) < 1.0 for r in records)
+        return all(r.outlier.ejected or self.capacity_fraction(r) < 1.0 for r in records)
 
     def record_send(self, record: EndpointRecord, work: float) -> None:
         """Take the work of an attempt out of its server's budget."""
-        record.slow_start_tokens -= work
+        record.slow_start.tokens -= work
 
     def capacity_fraction(self, record: EndpointRecord) -> float:
         """The part of its capacity that a server has at the least by now: 1 once it is warm."""
@@ -44,7 +49,7 @@
     def total_capacity(self) -> float:
         """What the servers that are not ejected can do by now at the least, in warm servers."""
         fraction = self.capacity_fraction
-        return max(1.0, sum(fraction(r) for r in self._context.endpoints.drawable if not r.ejected))
+        return max(1.0, sum(fraction(r) for r in self._context.endpoints.drawable if not r.outlier.ejected))
 
     def flow_per_warm_server(self) -> float:
         """Work a millisecond that this node sends for each warm server's worth of capacity."""
@@ -74,7 +79,7 @@
         rate = min(SLOW_START_MARGIN, 0.5 * settings.overload_multiple) * fraction * flow
         rate = max(rate, least_rate)
         most = max(1.0, rate * settings.overload_window_ms)
-        elapsed = now - record.slow_start_tokens_at
-        record.slow_start_tokens = min(most, record.slow_start_tokens + rate * elapsed)
-        record.slow_start_tokens_at = now
-        return record.slow_start_tokens >= min(work, most)
+        budget = record.slow_start
+        budget.tokens = min(most, budget.tokens + rate * (now - budget.updated_at))
+        budget.updated_at = now
+        return budget.tokens >= min(work, most)
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -6,7 +6,7 @@
 
 from load_balancer.events import EndpointId
 from load_balancer.state.context import NodeContext
-from load_balancer.state.records import EndpointRecord
+from load_balancer.state.endpoint_records import EndpointRecord
 
 LOCAL_MIN = 2  # fewer endpoints than this in the subset or zone are no fleet to keep to
 SUBSET_SIZE = 6  # endpoints in a subset, up to twice as many: of so few half may fail and leave a choice
--- a/load_balancer/state/records.py
+++ b/load_balancer/state/records.py
@@ -1,18 +1,13 @@
-"""The records that a node keeps of requests, attempts and endpoints; times are in milliseconds."""
+"""The records that a node keeps of requests and their attempts; times are in milliseconds."""
 
 from __future__ import annotations
 
-import math
 from dataclasses import dataclass, field
 
 from load_balancer.events import (
     NOT_EXECUTED,
     AttemptEnded,
     Endpoint,
-    EndpointId,
-    EndpointListKind,
-    EndpointListUpdate,
-    EndpointState,
     Outcome,
     RequestArrived,
     RequestId,
@@ -20,76 +15,7 @@
     UnexpectedEventError,
 )
 from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass
-
-AttemptKey = tuple[RequestId, int]
-"""A request's id and the number of one of its attempts, from 0."""
-
-
-@dataclass(slots=True)
-class ClassRecord:
-    """How an endpoint does with one class of requests.
-
-    Attributes:
-        failure_rate: a short average of failures that count against the class.
-        usual_failure_rate: the same over more answers, malformed ones among them.
-        served: the endpoint has served the class since its process started.
-        open_until: until when the circuit breaker keeps the class away.
-        half_open: the breaker was open, and no attempt has succeeded since.
-        consecutive_openings: how often the breaker opened without a recovery.
-        in_flight: this node's attempts of the class at the endpoint.
-    """
-
-    failure_rate: float = 0.0
-    usual_failure_rate: float = 0.0
-    served: bool = False
-    open_until: float = -math.inf
-    half_open: bool = False
-    consecutive_openings: int = 0
-    in_flight: int = 0
-
-
-@dataclass(slots=True)
-class EndpointRecord:
-    """What this node knows of an endpoint.
-
-    Attributes:
-        endpoint: its row in the endpoint list.
-        classes: how it does with each class, by class index.
-        listed: it is in the list and serving.
-        in_flight: this node's attempts there and when each was sent, oldest first.
-        last_response_at: when it last answered anything.
-        failure_rate: a short average of its failures.
-        ejected: it is out of service as an outlier.
-        on_trial: it was readmitted, and no attempt has succeeded since.
-        consecutive_ejections: how often it was ejected without a recovery.
-        cooldown_until: until when it is skipped.
-        consecutive_rejections: attempts that it rejected since it last served one.
-        concurrency_limit: attempts of this node that it is known to take, once it has rejected one.
-        slow_start_tokens: its budget while it warms up, in requests of mean work.
-        slow_start_tokens_at: when that budget was last brought up to date.
-    """
-
-    endpoint: Endpoint
-    classes: list[ClassRecord]
-    listed: bool = True
-    in_flight: dict[AttemptKey, float] = field(default_factory=dict)
-    last_response_at: float = -math.inf
-    failure_rate: float = 0.0
-    ejected: bool = False
-    on_trial: bool = False
-    consecutive_ejections: int = 0
-    cooldown_until: float = -math.inf
-    consecutive_rejections: int = 0
-    concurrency_limit: float = math.inf
-    slow_start_tokens: float = 0.0
-    slow_start_tokens_at: float = 0.0
-
-    def restart(self, now: float) -> None:
-        """Forget what counted against the process that a new one has replaced."""
-        self.failure_rate, self.consecutive_ejections = 0.0, 0
-        self.ejected = self.on_trial = False
-        self.classes = [ClassRecord(in_flight=c.in_flight) for c in self.classes]
-        self.last_response_at = now
+from load_balancer.state.endpoint_records import AttemptKey, EndpointRecord
 
 
 @dataclass(slots=True)
@@ -174,43 +100,6 @@
         return [(number, a) for number, a in enumerate(self.attempts) if a.outcome is None]
 
 
-class EndpointTable:
-    """The records of endpoints.
-
-    Attributes:
-        by_id: all that are listed or have attempts in flight.
-        drawable: those that are listed, in the order of the probability vector.
-    """
-
-    def __init__(self) -> None:
-        self.by_id: dict[EndpointId, EndpointRecord] = {}
-        self.drawable: list[EndpointRecord] = []
-
-    def apply(self, update: EndpointListUpdate, class_count: int, now: float) -> list[EndpointRecord]:
-        """Take in an endpoint list; the records of endpoints that are new or have restarted.
-
-        What has gone and has nothing in flight is forgotten: over a long day new ids come without end.
-        """
-        started: list[EndpointRecord] = []
-        if update.kind is not EndpointListKind.DELTA:
-            named = {endpoint.id for endpoint in update.endpoints}
-            for endpoint_id, record in self.by_id.items():
-                if endpoint_id not in named:
-                    record.listed = False
-        for endpoint in update.endpoints:
-            known = self.by_id.get(endpoint.id)
-            record = known or EndpointRecord(endpoint, [ClassRecord() for _ in range(class_count)])
-            if known is None:
-                self.by_id[endpoint.id] = record
-                started.append(record)
-            elif endpoint.started_ms > known.endpoint.started_ms:
-                known.restart(now)
-                started.append(known)
-            record.endpoint, record.listed = endpoint, endpoint.state is EndpointState.SERVING
-        self.by_id = {name: r for name, r in self.by_id.items() if r.listed or r.in_flight}
-        return started
-
-
 class RequestTable:
     """The requests that are owed an answer, and all attempts in flight.
 
@@ -242,7 +131,7 @@
         request.attempts.append(attempt)
         request.in_flight += 1
         record.in_flight[key] = now
-        record.classes[request.class_index].in_flight += 1
+        record.in_flight_by_class[request.class_index] += 1
 
     def attempt(self, event: ResponseStarted | AttemptEnded) -> Attempt:
         """The attempt that an event is about.
@@ -263,6 +152,6 @@
         key = (event.request_id, event.attempt_number)
         del self.attempts[key]
         del attempt.record.in_flight[key]
-        attempt.record.classes[attempt.class_index].in_flight -= 1
+        attempt.record.in_flight_by_class[attempt.class_index] -= 1
         attempt.outcome = event.outcome
         return attempt
