--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -210,7 +210,7 @@
         (
             Edit(
                 "load_balancer/policy/slow_start.py",
-                "return budget.tokens >= min(work, most)",
+                "return budget.tokens >= min(work, max_tokens)",
                 "return True",
             ),
         ),
--- a/load_balancer/estimation/latency.py
+++ b/load_balancer/estimation/latency.py
@@ -7,8 +7,8 @@
 
 from load_balancer.estimation.averages import MeanDeviation
 
-LATENCY_STEP = 0.1
-"""The smoothing factor of the latency mean and deviation: they span about ten latencies."""
+LATENCY_SMOOTHING_FACTOR = 0.1
+"""Of the mean and the mean deviation, which span about ten latencies."""
 
 TIMEOUT_DEVIATIONS = 4.0
 """An attempt is late after the mean and this many mean deviations, as in TCP's retransmission timeout."""
@@ -21,7 +21,7 @@
 class LatencyEstimator(MeanDeviation):
     """Mean and mean deviation of latencies in milliseconds."""
 
-    step: float = LATENCY_STEP
+    smoothing_factor: float = LATENCY_SMOOTHING_FACTOR
 
     def attempt_timeout(self) -> float:
         """After how many milliseconds an attempt counts as late; infinite before the first latency."""
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -1,15 +1,18 @@
-"""The decisions of one node: hands each event to the parts that decide, and is alone in answering requests.
+"""The decisions of one node: passes each event to the parts that decide; alone in answering requests.
 
 The ordinary path is a two-time-scale learning automaton; docs/design.md lists the exceptions to it.  Nothing
 here reads a clock or a global random source: time comes with each event, randomness from a seed.
 """
 
+from __future__ import annotations
+
 from load_balancer import events
 from load_balancer.actions import Action, CancelAttempt, CloseIdleConnections, FinishReason, SendAttempt
 from load_balancer.estimation.averages import RelativeSize
 from load_balancer.policy import admission
 from load_balancer.policy.automaton import Automaton
 from load_balancer.policy.circuit_breakers import CircuitBreakers
+from load_balancer.policy.concurrency_limit import ConcurrencyLimit
 from load_balancer.policy.congestion import CongestionMonitor
 from load_balancer.policy.endpoint_limits import EndpointLimits
 from load_balancer.policy.endpoints import EndpointListPoller, update_endpoints
@@ -19,19 +22,22 @@
 from load_balancer.policy.selection import EndpointSelector, may_send
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subset import EndpointSubset
-from load_balancer.settings import Settings
+from load_balancer.settings import RequestClass, Settings
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
 from load_balancer.state.records import Request
 from load_balancer.state.request_queue import RequestQueue
 from load_balancer.state.timer_queue import TimerKind
 
-WORK_STEP = 0.02  # the mean cost hint spans about fifty requests
-QUEUE_SCAN_LIMIT = 3  # queued requests without a place that are passed over for others
+WORK_SMOOTHING_FACTOR = 0.02
+"""Of the mean cost hint, which spans about fifty requests."""
+
+QUEUE_SCAN_LIMIT = 3
+"""Queued requests without a usable endpoint that are skipped for others."""
 
 
 class Balancer:
-    """One node's decisions, as actions to carry out; its parts are to be read only, and change by events."""
+    """One node's decisions, as actions to carry out; its parts change by events alone."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -44,7 +50,7 @@
         self.breakers = CircuitBreakers(context)
         self.outliers = OutlierDetector(context, self.subset)
         self.endpoint_limits = EndpointLimits(context)
-        self.concurrency = admission.ConcurrencyLimit(context, slow_start, monitor)
+        self.concurrency = ConcurrencyLimit(context, slow_start, monitor)
         self.selector = EndpointSelector(context, automaton, self.subset, slow_start, monitor)
         self.retries = RetryPolicy(context, monitor)
         self.outcomes = OutcomeRecorder(
@@ -57,12 +63,16 @@
             self.outliers,
             self.endpoint_limits,
         )
-        self.queue = RequestQueue(context, admission.QUEUE_CHECK * context.objective_ms)
-        self._work = RelativeSize(WORK_STEP)
+        self.queue = RequestQueue(context, admission.QUEUE.check_interval_objectives * context.objective_ms)
+        self._work = RelativeSize(WORK_SMOOTHING_FACTOR)
         self._quotas = admission.TenantQuotas(settings)
 
     def handle(self, event: events.Event, now: float) -> list[Action]:
-        """The actions that follow from one event; raises UnexpectedEventError for one that cannot be true."""
+        """The actions that follow from one event.
+
+        Raises:
+            UnexpectedEventError: the event names a request, attempt or class that never existed.
+        """
         self.context.begin_event(now)
         if isinstance(event, events.AttemptEnded):
             self._on_attempt_ended(event)
@@ -93,23 +103,27 @@
         context.requests.check_arrival(event, len(settings.classes))
         request_class = settings.classes[event.class_index]
         work = self._work.observe(event.cost_hint_ms)
-        priority = request_class.priority_weight
-        if not settings.priority_by_work:
-            priority /= work
-        if not self._quotas.admits(event.tenant, context.now):
-            priority *= settings.over_quota_weight
         request = context.requests.by_id[event.request_id] = Request(
             id=event.request_id,
             request_class=request_class,
             class_index=event.class_index,
             deadline=context.now + event.budget_ms,
             work=work,
-            priority=priority,
+            priority=self._priority(request_class, event.tenant, work),
             sequence=next(context.sequence),
             admission_draw=context.rng.random(),
         )
         self.retries.record_arrival()
-        self.queue.add(request, admission.arrival_timeout(request, event.budget_ms, settings))
+        self.queue.add(request, admission.arrival_timeout_ms(request, event.budget_ms, settings))
+
+    def _priority(self, request_class: RequestClass, tenant: int, work: float) -> float:
+        """The priority of a request in the queue; counts it against its tenant's quota."""
+        priority = request_class.priority_weight
+        if not self.settings.priority_by_work:
+            priority /= work
+        if not self._quotas.admits(tenant, self.context.now):
+            priority *= self.settings.over_quota_weight
+        return priority
 
     def _on_response_started(self, event: events.ResponseStarted) -> None:
         self.outcomes.record_response(self.context.requests.attempt(event).record)
@@ -132,15 +146,19 @@
             self.queue.remove(request)
             self._cancel_attempts(request, event.attempt_number)
         elif not request.in_flight and not request.queued:
-            denial = self.retries.take_retry(request, event.outcome)
-            if denial is None:
-                self.queue.add(request, admission.retry_timeout(request, request.deadline - self.context.now))
-            else:
-                self._finish(request, denial)
+            self._retry_or_finish(request, event.outcome)
+
+    def _retry_or_finish(self, request: Request, outcome: events.Outcome) -> None:
+        denial = self.retries.take_retry(request, outcome)
+        if denial is None:
+            left_ms = request.deadline - self.context.now
+            self.queue.add(request, admission.retry_timeout_ms(request, left_ms))
+        else:
+            self._finish(request, denial)
 
     def _on_request_abandoned(self, event: events.RequestAbandoned) -> None:
         request = self.context.requests.take(event.request_id)
-        if request is not None:  # else it finished a moment ago
+        if request is not None:  # otherwise it was answered a moment ago
             self.queue.remove(request)
             self._cancel_attempts(request)
 
@@ -149,15 +167,14 @@
             if timer.kind is TimerKind.LATE_ATTEMPT:
                 self._on_late_attempt(timer.request_id)
             elif timer.kind is TimerKind.QUEUE_CHECK:
-                for request in self.queue.expired():
-                    self._expire(request)
+                self._expire_queued()
             elif timer.kind is TimerKind.ENDPOINT_LIST_POLL:
                 self.poller.on_timer()
             elif timer.kind is TimerKind.READMISSION:
                 self.outliers.on_readmission_timer(timer.endpoint_id)
 
     def _on_late_attempt(self, request_id: events.RequestId) -> None:
-        """A late attempt is hedged, or cancelled and retried where hedging is forbidden, or checked again."""
+        """Hedge a late attempt, cancel it where hedging is forbidden, or check it again later."""
         request = self.context.requests.by_id.get(request_id)
         if request is None or not request.in_flight or request.queued or request.response_started:
             return
@@ -165,35 +182,37 @@
             if not self.settings.hedging_allowed:
                 self._cancel_attempts(request)
                 return
-            if self._place(request, False):
+            if self._place(request, final_attempt=False):
                 self.retries.spend()
                 return
         self.retries.schedule_late_check(request)
 
     def _place_queued(self) -> None:
-        """Place what is queued, by priority."""
-        queue, passed_over = self.queue, 0
-        while passed_over < min(len(queue), QUEUE_SCAN_LIMIT):
-            request = queue[passed_over]
+        """Send attempts for queued requests, in the order of their priority."""
+        queue, skipped = self.queue, 0
+        while skipped < min(len(queue), QUEUE_SCAN_LIMIT):
+            request = queue[skipped]
             if not self.concurrency.admits(request):
-                break  # and none of less priority by the luck of its draw
-            if not self._place(request, False):
-                passed_over += 1
+                break  # a request of lower priority must not pass by the chance of its admission draw
+            if not self._place(request, final_attempt=False):
+                skipped += 1
         queue.schedule_check()
 
-    def _expire(self, request: Request) -> None:
-        """A request has waited long enough: a final attempt anywhere the rules allow, or an answer."""
-        if not self.concurrency.admits(request):
-            self._finish(request, FinishReason.OVERLOADED)
-        elif not self._place(request, True):
-            self._finish(request, FinishReason.NO_ENDPOINT)
+    def _expire_queued(self) -> None:
+        """Give each request whose timeout in the queue has passed a final attempt, or else an answer."""
+        for request in self.queue.expired():
+            if not self.concurrency.admits(request):
+                self._finish(request, FinishReason.OVERLOADED)
+            elif not self._place(request, final_attempt=True):
+                self._finish(request, FinishReason.NO_ENDPOINT)
 
-    def _place(self, request: Request, final_attempt: bool) -> bool:
+    def _place(self, request: Request, *, final_attempt: bool) -> bool:
+        """Send the request's next attempt to an endpoint, if any may get it; says whether it was sent."""
         record = self.selector.draw(request, final_attempt)
         return record is not None and self._send(request, record)
 
     def _send(self, request: Request, record: EndpointRecord) -> bool:
-        """The one path that sends an attempt, if the rules allow it; slow start has been asked before."""
+        """The one path that sends an attempt, if the rules allow it; slow start has admitted it before."""
         context = self.context
         if not may_send(context, request, record):
             return False
@@ -216,7 +235,7 @@
         self._cancel_attempts(request)
 
     def _cancel_attempts(self, request: Request, keep: int | None = None) -> None:
-        """Cancel attempts that nobody waits for any more, but for one."""
+        """Cancel the attempts in flight except one, as no response of theirs is needed any more."""
         if self.settings.cancel_allowed and request.in_flight:
             for number, _ in request.running():
                 if number != keep:
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -1,103 +1,179 @@
 """The congestion signal: latencies against their target and against the baseline of light load."""
 
+from __future__ import annotations
+
 import math
+from dataclasses import dataclass
 
 from load_balancer.estimation.latency import LatencyEstimator
-from load_balancer.estimation.rates import FadingRate
+from load_balancer.estimation.rates import DecayingRate
 from load_balancer.state.context import NodeContext
 
-TARGET_RATIO = 0.4  # latencies are kept below this part of the objective, less for inner tiers
-TARGET_BASELINES = 1.6  # and this many times the baseline ratio, where the objective leaves little margin
-RATIO_CAP = 1.2  # in objectives: what one very late answer counts at most
-BASELINES_CONGESTED = 2.0  # and below this many times the node's baseline latency
-BASELINES_CONGESTED_SPARSE = 1.5  # where a node has so few answers that congestion is averaged over five
-BASELINE_ANSWERS_MIN = 10  # answers before a mean latency counts as baseline
-BASELINE_MEANS_MIN = 20.0  # and mean latencies since the first attempt: the first meet an empty fleet
-BASELINE_FADE = 0.00003  # by which the baseline follows the present mean at each answer
-CONGESTION_STEP = 0.05  # congestion is averaged over about twenty answers
-CONGESTION_OBJECTIVES = 2.0  # but where those take longer than this many objectives, over as many as come,
-CONGESTION_STEP_MAX = 0.2  # five at the least: at full size twenty answers of a node come after the overload
-PEAK_FADE = 4.0  # the best rate fades over this many objectives
+
+@dataclass(frozen=True, slots=True)
+class CongestionParameters:
+    """Up to which latencies the fleet is not congested; latency ratios are in latency objectives.
+
+    Attributes:
+        target_ratio: latencies are to stay below this ratio, less at inner tiers.
+        target_baselines: or below this multiple of the baseline ratio, where the objective leaves little
+            margin.
+        max_ratio: one very late response counts as this ratio at most.
+        baselines: mean latencies are to stay below this multiple of the baseline latency as well.
+        sparse_baselines: the same where the averages span only as few responses as they may.
+    """
+
+    target_ratio: float = 0.4
+    target_baselines: float = 1.6
+    max_ratio: float = 1.2
+    baselines: float = 2.0
+    sparse_baselines: float = 1.5
+
+
+@dataclass(frozen=True, slots=True)
+class AveragingParameters:
+    """Over how many responses latencies are averaged.
+
+    Attributes:
+        min_factor: the smoothing factor, which spans about twenty responses.
+        max_factor: where these take too long the average spans as few as five.
+        objectives: the time that twenty responses may take, in latency objectives.
+    """
+
+    min_factor: float = 0.05
+    max_factor: float = 0.2
+    objectives: float = 2.0
+
+
+@dataclass(frozen=True, slots=True)
+class BaselineParameters:
+    """When the baseline latency is known, and how it follows.
+
+    Attributes:
+        min_answers: responses before a mean latency can be the baseline.
+        min_mean_latencies: and the time since the first attempt, in mean latencies: the first responses come
+            from an empty fleet, and the first to arrive are the quick ones.
+        follow_factor: the smoothing factor by which the baseline follows higher latencies.
+    """
+
+    min_answers: int = 10
+    min_mean_latencies: float = 20.0
+    follow_factor: float = 0.00003
+
+
+CONGESTION = CongestionParameters()
+AVERAGING = AveragingParameters()
+BASELINE = BaselineParameters()
+
+PEAK_RATE_DECAY_OBJECTIVES = 4.0
+"""The best rate of responses decays with this time constant, in latency objectives."""
 
 
 class CongestionMonitor:
-    """Follows the latencies of a node."""
+    """Follows the latencies of a node; all are in milliseconds.
+
+    Attributes:
+        latency: the latencies of all attempts.
+        class_latencies: the latencies of each class, by class index.
+        congestion: latencies against their bounds; above 1 the fleet is congested.
+        target_pressure: latencies against their target alone.
+        mean_latency: the mean over those responses that the congestion is averaged over.
+        baseline_latency: the mean latency when nothing queues, infinite until it is known.
+        least_mean_latency: the lowest mean so far, which replaces the baseline until that is known.
+        mean_in_flight: the mean number of attempts in flight.
+        answer_rate: the rate of responses.
+        peak_rate: the best recent rate of responses, per millisecond.
+    """
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
-        self.latency = LatencyEstimator()  # of all attempts
+        self.latency = LatencyEstimator()
         self.class_latencies = [LatencyEstimator() for _ in context.settings.classes]
-        self.congestion = 0.0  # latencies against what they may be; above 1 the fleet is congested
-        self.target_pressure = 0.0  # the part of it that compares with the target
-        self.mean_latency = 0.0  # over the answers that congestion is averaged on
-        self.baseline_latency = math.inf  # the mean latency when nothing queues, infinite until it is known
-        self.least_mean_latency = math.inf  # stands for it until then
+        self.congestion = 0.0
+        self.target_pressure = 0.0
+        self.mean_latency = 0.0
+        self.baseline_latency = math.inf
+        self.least_mean_latency = math.inf
         self.mean_in_flight = 0.0
-        self.answer_rate = FadingRate(context.objective_ms)
-        self.peak_rate = 0.0  # the best recent rate of answers a millisecond
+        self.answer_rate = DecayingRate(context.objective_ms)
+        self.peak_rate = 0.0
         self._peak_at = 0.0
         self._started_at: float | None = None
         self._answers = 0
-        self._step = CONGESTION_STEP
-        self._stepped_at = 0.0
-        self._ratio = 0.0  # mean latency as a part of the objective
+        self._factor = AVERAGING.min_factor
+        self._ratio_at = 0.0
+        self._mean_ratio = 0.0
         self._baseline_ratio = 1.0
-        self._long_mean_latency = 0.0  # over about twenty answers
+        self._long_mean_latency = 0.0  # always over about twenty responses
 
     def record_send(self) -> None:
-        """Take note of an attempt's start."""
+        """Record that an attempt was sent."""
         if self._started_at is None:
             self._started_at = self._context.now
 
     def baseline_known(self) -> bool:
-        """The first answers to come back are the quick ones: a mean of those alone is too low for long."""
-        if self._started_at is None or self._answers < BASELINE_ANSWERS_MIN:
+        """Whether enough responses have come, for long enough, for their mean to be a baseline."""
+        if self._started_at is None or self._answers < BASELINE.min_answers:
             return False
-        return self._context.now - self._started_at >= BASELINE_MEANS_MIN * self.mean_latency
+        return self._context.now - self._started_at >= BASELINE.min_mean_latencies * self.mean_latency
 
     def peak_fade(self) -> float:
-        """What is left of the best rate: it fades with time, not with answers: under overload none come."""
-        return math.exp(-(self._context.now - self._peak_at) / (PEAK_FADE * self._context.objective_ms))
+        """The part of the best rate that is left; it decays with time, as an overload brings no responses."""
+        time_constant = PEAK_RATE_DECAY_OBJECTIVES * self._context.objective_ms
+        return math.exp(-(self._context.now - self._peak_at) / time_constant)
 
     def record_answer(self, latency: float) -> None:
-        """Follow the baseline: the mean latency at the lightest load, when nothing queues."""
+        """Record the latency of a response, for the means, the baseline and the best rate."""
         now = self._context.now
         self._answers += 1
-        self.mean_latency += max(self._step, 1.0 / self._answers) * (latency - self.mean_latency)
-        # The least of a short average lies far below any mean: the baseline is taken from a longer one.
+        first_factor = 1.0 / self._answers
+        self.mean_latency += max(self._factor, first_factor) * (latency - self.mean_latency)
+        # The lowest value of a short average lies far below any mean, so the baseline needs a longer one.
         mean = self._long_mean_latency
-        mean = self._long_mean_latency = mean + max(CONGESTION_STEP, 1.0 / self._answers) * (latency - mean)
+        mean += max(AVERAGING.min_factor, first_factor) * (latency - mean)
+        self._long_mean_latency = mean
         self.answer_rate.add(1.0, now)
-        if self._answers >= BASELINE_ANSWERS_MIN:
+        if self._answers >= BASELINE.min_answers:
             self.least_mean_latency = min(self.least_mean_latency, mean)
-        fade = self.peak_fade()
+        faded_peak_rate = self.peak_rate * self.peak_fade()
         self._peak_at = now
         if self.baseline_known():
-            # A count of n is known to within its root: the best of few answers is mostly luck.
+            # A count of n is known to within its square root; the best of few responses is mostly chance.
             rate = self.answer_rate.per_ms(now)
-            self.peak_rate = max(self.peak_rate * fade, rate - math.sqrt(rate / self.answer_rate.span_ms))
-            self.baseline_latency = min(self.baseline_latency, mean)
-            self.baseline_latency += BASELINE_FADE * (mean - self.baseline_latency)
-            self._baseline_ratio = min(self._baseline_ratio, self._ratio)
-            self._baseline_ratio += BASELINE_FADE * (self._ratio - self._baseline_ratio)
+            self.peak_rate = max(faded_peak_rate, rate - math.sqrt(rate / self.answer_rate.time_constant_ms))
+            self._follow_baseline(mean)
 
     def record_ratio(self, ratio: float) -> None:
-        """Take in a latency as a part of its objective, and the attempts in flight."""
-        now, settings = self._context.now, self._context.settings
-        part = (now - self._stepped_at) / (CONGESTION_OBJECTIVES * self._context.objective_ms)
-        self._stepped_at = now
-        step = min(max(part, CONGESTION_STEP), CONGESTION_STEP_MAX)
-        self._step += CONGESTION_STEP_MAX * (step - self._step)
-        self._ratio += self._step * (min(ratio, RATIO_CAP) - self._ratio)
+        """Record a latency in latency objectives, and the attempts in flight, for the congestion."""
+        now = self._context.now
+        allowed_ms = AVERAGING.objectives * self._context.objective_ms
+        factor = (now - self._ratio_at) / allowed_ms
+        self._ratio_at = now
+        factor = min(max(factor, AVERAGING.min_factor), AVERAGING.max_factor)
+        self._factor += AVERAGING.max_factor * (factor - self._factor)
+        self._mean_ratio += self._factor * (min(ratio, CONGESTION.max_ratio) - self._mean_ratio)
         in_flight = len(self._context.requests.attempts)
-        self.mean_in_flight += self._step * (in_flight - self.mean_in_flight)
-        # Few answers show it late: by then servers are overloaded, so less than that counts as congestion.
-        sparse = (self._step - CONGESTION_STEP) / (CONGESTION_STEP_MAX - CONGESTION_STEP)
-        times = BASELINES_CONGESTED + sparse * (BASELINES_CONGESTED_SPARSE - BASELINES_CONGESTED)
-        bound = times * self.baseline_latency
-        # Where even the baseline latencies are near the target, holding to it would shed without end.
-        target = TARGET_RATIO * (settings.tier_count - settings.tier_index) / settings.tier_count
-        if self.baseline_latency < math.inf:
-            target = max(target, TARGET_BASELINES * self._baseline_ratio)
-        self.target_pressure = self._ratio / target
+        self.mean_in_flight += self._factor * (in_flight - self.mean_in_flight)
+        self.target_pressure = self._mean_ratio / self._target_ratio()
+        bound = self._latency_bound()
         self.congestion = max(self.target_pressure, self.mean_latency / bound if bound > 0 else 0.0)
+
+    def _follow_baseline(self, mean_latency: float) -> None:
+        self.baseline_latency = min(self.baseline_latency, mean_latency)
+        self.baseline_latency += BASELINE.follow_factor * (mean_latency - self.baseline_latency)
+        self._baseline_ratio = min(self._baseline_ratio, self._mean_ratio)
+        self._baseline_ratio += BASELINE.follow_factor * (self._mean_ratio - self._baseline_ratio)
+
+    def _target_ratio(self) -> float:
+        settings = self._context.settings
+        target = CONGESTION.target_ratio * (settings.tier_count - settings.tier_index) / settings.tier_count
+        if self.baseline_latency < math.inf:
+            # Where even the baseline is near the target, the target alone would shed load without end.
+            target = max(target, CONGESTION.target_baselines * self._baseline_ratio)
+        return target
+
+    def _latency_bound(self) -> float:
+        # Few responses show congestion late, when servers are overloaded already: they get a lower bound.
+        sparse = (self._factor - AVERAGING.min_factor) / (AVERAGING.max_factor - AVERAGING.min_factor)
+        baselines = CONGESTION.baselines + sparse * (CONGESTION.sparse_baselines - CONGESTION.baselines)
+        return baselines * self.baseline_latency
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -1,6 +1,9 @@
-"""The endpoint list: which endpoints there are, and polling for it with backoff."""
+"""The endpoint list: which endpoints there are, and polling for the list with backoff."""
+
+from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 
 from load_balancer.actions import PollEndpointList
 from load_balancer.events import EndpointListKind, EndpointListUpdate
@@ -9,9 +12,37 @@
 from load_balancer.state.context import NodeContext
 from load_balancer.state.timer_queue import TimerKind
 
-# Whatever the settings allow after a failed poll, a change counts as notified 6 s after discovery had it and
-# could be reached: two polls may fail in that time, each waited for and backed off from for this long.
-POLL_BACKOFF_MAX_MS = 6000.0 / 6
+MAX_NOTIFICATION_DELAY_MS = 6000.0
+"""A node counts as notified of a change this long after discovery had it and could be reached."""
+
+POLL_BACKOFF_MAX_MS = MAX_NOTIFICATION_DELAY_MS / 6
+"""The longest backoff: two polls may fail within that delay, each with its timeout and its backoff."""
+
+MIN_ENDPOINT_WEIGHT = 1e-3
+
+
+@dataclass(frozen=True, slots=True)
+class PollParameters:
+    """The pauses between polls, as parts of the time within which the settings require a poll.
+
+    Attributes:
+        first_spread: all nodes may start at once, so their first polls are spread over this part.
+        unanswered: a poll without an answer is repeated after this part.
+        backoff_first: the first backoff; each further one is twice as long.
+        backoff_max: the longest backoff.
+        max_doublings: the doublings after which the backoff grows no further in any case.
+        jitter_min: the least factor by which a backoff is spread; the largest is 1.
+    """
+
+    first_spread: float = 0.3
+    unanswered: float = 0.5
+    backoff_first: float = 0.1
+    backoff_max: float = 0.5
+    max_doublings: int = 10
+    jitter_min: float = 0.5
+
+
+POLL = PollParameters()
 
 
 def update_endpoints(
@@ -23,13 +54,13 @@
         slow_start.begin(record)
     listed = {name: r.endpoint for name, r in table.by_id.items() if r.listed}
     weighted = context.settings.use_endpoint_weights
-    weights = {name: max(e.weight, 1e-3) if weighted else 1.0 for name, e in listed.items()}
+    weights = {name: max(e.weight, MIN_ENDPOINT_WEIGHT) if weighted else 1.0 for name, e in listed.items()}
     automaton.resize(weights, {name: e.machine_type for name, e in listed.items()})
     table.drawable = [table.by_id[name] for name in automaton.endpoints]
 
 
 class EndpointListPoller:
-    """Plans the polls for the list, with backoff while they fail."""
+    """Plans the polls for the endpoint list, with backoff while they fail."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
@@ -38,25 +69,13 @@
         self._poll_at = math.inf
 
     def on_list(self, kind: EndpointListKind) -> None:
-        """Take note of a list, or of its failure."""
-        context = self._context
+        """Plan the next poll after a list or a failed poll."""
         if kind is EndpointListKind.FAILED:
-            # Discovery is down or refuses: keep the last list and poll again, later each time.
-            self._subscribed = False
-            self._failed_polls += 1
-            if self._failed_polls == 1:
-                context.log("endpoint_list_lost")
-            self._plan_poll(self._backoff())
+            self._on_failed_poll()
         elif kind is EndpointListKind.CACHED:
-            if context.settings.poll_endpoint_list:
-                # All nodes may start at once: spread their first polls, well inside the time allowed.
-                longest = min(0.3 * context.settings.poll_within_ms, POLL_BACKOFF_MAX_MS)
-                self._plan_poll(context.rng.random() * longest)
+            self._plan_first_poll()
         else:
-            self._subscribed = True
-            if self._failed_polls:
-                context.log("endpoint_list_recovered", failed_polls=self._failed_polls)
-                self._failed_polls = 0
+            self._on_fresh_list()
 
     def on_timer(self) -> None:
         """Poll, unless another poll has been planned instead or the list is subscribed to."""
@@ -66,21 +85,42 @@
         self._poll_at = math.inf
         if not self._subscribed:
             context.actions.append(PollEndpointList())
-            unanswered_after = min(0.5 * context.settings.poll_within_ms, 2 * POLL_BACKOFF_MAX_MS)
-            self._plan_poll(unanswered_after)
+            # The timeout of a poll and the backoff after it are bounded alike.
+            timeout_ms = min(POLL.unanswered * context.settings.poll_within_ms, 2 * POLL_BACKOFF_MAX_MS)
+            self._plan_poll(timeout_ms)
+
+    def _on_failed_poll(self) -> None:
+        self._subscribed = False
+        self._failed_polls += 1
+        if self._failed_polls == 1:
+            self._context.log("endpoint_list_lost")
+        self._plan_poll(self._backoff_ms())
+
+    def _plan_first_poll(self) -> None:
+        context = self._context
+        if context.settings.poll_endpoint_list:
+            spread_ms = min(POLL.first_spread * context.settings.poll_within_ms, POLL_BACKOFF_MAX_MS)
+            self._plan_poll(context.rng.random() * spread_ms)
+
+    def _on_fresh_list(self) -> None:
+        self._subscribed = True
+        if self._failed_polls:
+            self._context.log("endpoint_list_recovered", failed_polls=self._failed_polls)
+            self._failed_polls = 0
 
-    def _backoff(self) -> float:
+    def _backoff_ms(self) -> float:
         """The time to the next poll after a failed one, with jitter."""
-        within = self._context.settings.poll_within_ms
-        longest = min(0.5 * within, POLL_BACKOFF_MAX_MS)
-        pause = min(longest, 0.1 * within * 2.0 ** min(self._failed_polls - 1, 10))
-        return pause * (0.5 + 0.5 * self._context.rng.random())
+        within_ms = self._context.settings.poll_within_ms
+        longest_ms = min(POLL.backoff_max * within_ms, POLL_BACKOFF_MAX_MS)
+        doublings = min(self._failed_polls - 1, POLL.max_doublings)
+        pause_ms = min(longest_ms, POLL.backoff_first * within_ms * 2.0**doublings)
+        return pause_ms * (POLL.jitter_min + (1.0 - POLL.jitter_min) * self._context.rng.random())
 
-    def _plan_poll(self, pause: float) -> None:
-        """One poll is planned at a time; a new plan replaces the old.
+    def _plan_poll(self, pause_ms: float) -> None:
+        """Plan the one next poll, in place of any planned before.
 
-        Guards against polls that multiply while discovery is out of reach: a timer for each failed poll
-        beside the one that guards the poll itself doubled them with every backoff, on every node at once.
+        With a timer for each failed poll beside the timeout of the poll itself, polls would double at each
+        backoff.
         """
-        self._poll_at = self._context.now + pause
+        self._poll_at = self._context.now + pause_ms
         self._context.schedule(self._poll_at, TimerKind.ENDPOINT_LIST_POLL)
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from load_balancer.events import AttemptEnded, Outcome
-from load_balancer.policy.admission import ConcurrencyLimit
 from load_balancer.policy.automaton import Automaton
 from load_balancer.policy.circuit_breakers import CircuitBreakers
+from load_balancer.policy.concurrency_limit import ConcurrencyLimit
 from load_balancer.policy.congestion import CongestionMonitor
 from load_balancer.policy.endpoint_limits import EndpointLimits
 from load_balancer.policy.outliers import OutlierDetector
@@ -85,7 +85,7 @@
     def _record_rejection(self, record: EndpointRecord, elapsed_ms: float) -> None:
         """An endpoint that answers others but accepts no further request or connection is full, not dead."""
         self.outliers.cool_down(record, self.endpoint_limits.record_rejection(record))
-        self.automaton.charge(record.endpoint.id, elapsed_ms)
+        self.automaton.learn_failure(record.endpoint.id, elapsed_ms)
         if self.endpoint_limits.fleet_rejects():
             self.limit.record_ratio(1.0)
 
@@ -93,7 +93,7 @@
         record, class_index = attempt.record, attempt.class_index
         if outcome in (Outcome.ERROR, Outcome.MALFORMED_RESPONSE):
             self.record_response(record)
-        self.automaton.charge(record.endpoint.id, elapsed_ms)
+        self.automaton.learn_failure(record.endpoint.id, elapsed_ms)
         self.breakers.record_failure(record, class_index)
         if attempt.process_replaced():
             return
@@ -108,6 +108,6 @@
         self.monitor.latency.observe(elapsed_ms)
         self.monitor.class_latencies[request.class_index].observe(elapsed_ms)
         self.limit.record_ratio(elapsed_ms / request.request_class.latency_objective_ms)
-        self.automaton.charge(attempt.record.endpoint.id, elapsed_ms)
+        self.automaton.learn_failure(attempt.record.endpoint.id, elapsed_ms)
         if not attempt.process_replaced() and elapsed_ms >= self.monitor.latency.attempt_timeout():
             self.outliers.record_failure(attempt.record, outcome)
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -1,4 +1,8 @@
-"""Further attempts of a request - retries and hedged requests - and the final answer without one."""
+"""Further attempts of a request (retries and hedged requests) and the final answer to one not served."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
 
 from load_balancer.actions import FailRequest, FinishReason, RejectRequest
 from load_balancer.events import Outcome
@@ -10,34 +14,56 @@
 from load_balancer.state.records import Request
 from load_balancer.state.timer_queue import TimerKind
 
-RETRY_EARN = 0.1  # retries and hedged requests for each arrival
-RETRY_TOKENS_MAX = 10.0
-RETRY_AFTER = 0.2  # part of the objective after which a rejected client may come back
+
+@dataclass(frozen=True, slots=True)
+class RetryParameters:
+    """The budget of further attempts, and when rejected clients may return.
+
+    Attributes:
+        tokens_per_arrival: the further attempts that each arrival earns.
+        max_tokens: the further attempts that the budget holds at the most.
+        initial_tokens: those that it starts with.
+        min_time_left_ticks: a retry needs at least this much time, in ticks of the host.
+        retry_after_objectives: the Retry-After of a rejection, in latency objectives of the request's class.
+    """
+
+    tokens_per_arrival: float = 0.1
+    max_tokens: float = 10.0
+    initial_tokens: float = 5.0
+    min_time_left_ticks: float = 2.0
+    retry_after_objectives: float = 0.2
+
+
+PARAMETERS = RetryParameters()
 
 
 class RetryPolicy:
-    """Decides on further attempts, within a budget earned by arrivals."""
+    """Decides on further attempts, within a budget that arrivals earn.
+
+    Attributes:
+        tokens: the further attempts that the budget has left.
+    """
 
     def __init__(self, context: NodeContext, monitor: CongestionMonitor) -> None:
-        self.tokens = RETRY_TOKENS_MAX / 2  # what the budget has left
+        self.tokens = PARAMETERS.initial_tokens
         self._context = context
         self._monitor = monitor
 
     def record_arrival(self) -> None:
         """Earn a part of a further attempt."""
-        self.tokens = min(RETRY_TOKENS_MAX, self.tokens + RETRY_EARN)
+        self.tokens = min(PARAMETERS.max_tokens, self.tokens + PARAMETERS.tokens_per_arrival)
 
     def spend(self) -> None:
         """Pay for a further attempt."""
         self.tokens -= 1.0
 
     def take_retry(self, request: Request, outcome: Outcome) -> FinishReason | None:
-        """Grant another attempt to a request whose last one ended so, paid from the budget.
+        """Grant a retry to a request whose last attempt ended with this outcome, and pay for it.
 
         Returns:
-            Why it gets none; None where it gets one.
+            Why it gets no retry; None where it gets one.
         """
-        # An attempt that no server saw costs nothing to repeat.
+        # A retry of an attempt that no server has seen is free.
         costs = outcome is Outcome.REJECTED or request.first_possible_run() is not None
         denial = self._denial(request, outcome, costs)
         if denial is None and costs:
@@ -52,14 +78,14 @@
             return FinishReason.CLIENT_ERROR
         if len(request.attempts) >= settings.max_attempts:
             return FinishReason.ATTEMPTS_EXHAUSTED
-        if left <= max(mean, 2 * settings.tick_ms):
+        if left <= max(mean, PARAMETERS.min_time_left_ticks * settings.tick_ms):
             return FinishReason.OUT_OF_TIME
         if costs and self.tokens < 1.0:
             return FinishReason.RETRY_BUDGET
         return None if permitted(self._context, request) else FinishReason.NOT_REPEATABLE
 
     def schedule_late_check(self, request: Request) -> None:
-        """Have a timer fire when an attempt sent now is late, if another could still be answered in time."""
+        """Schedule a check for when an attempt sent now is late, if another one could still be in time."""
         latency = self._monitor.class_latencies[request.class_index]
         at = self._context.now + latency.attempt_timeout()
         if (
@@ -70,34 +96,31 @@
             self._context.schedule(at, TimerKind.LATE_ATTEMPT, request.id)
 
     def may_hedge(self, request: Request) -> bool:
-        """Whether a request whose attempt is late may have a second one beside it or in its place.
+        """Whether a request whose attempt is late may have a second one, beside it or in its place.
 
-        Only if its server is silent: one that answers others is merely busy with long work, and giving that
-        up would waste it and feed the next queue (seen as 14% of attempts timed out on a quiet day).  And
-        only while the budget lasts and latencies meet their target: in an inner tier a few answers of twice
-        the baseline are no overload.  What does not hold now may hold at the next check.
+        Its server must be silent: one that answers others is busy with long work, which a cancellation would
+        waste.  The budget must last, and latencies must meet their target; the baseline does not matter, as
+        latencies of twice the baseline are no overload at an inner tier.
         """
         timeout = self._monitor.class_latencies[request.class_index].attempt_timeout()
         silent = all(is_silent(a.record, timeout, self._context.now) for _, a in request.running())
         return silent and self.tokens >= 1.0 and self._monitor.target_pressure < 1.0
 
     def needs_new_connection(self, request: Request, record: EndpointRecord) -> bool:
-        """Whether a request that may not be repeated goes out on a new connection.
+        """Whether a non-idempotent request needs a new connection to this endpoint.
 
-        So it does to a server that has not answered for longer than answers take.  A vanished machine leaves
-        its connections open and swallows what is written to them: every node of a tier lost a request to
-        find that out, which held a place in each tier before it until its deadline.  A new connection that
-        is not established proves that nothing ran.  It could hurt where handshakes cost as much as the work:
-        not while latencies are past their target (simulated overload 0.87 -> 0.72 without this bound).
+        It does where the endpoint has not responded for longer than responses take: the machine may have
+        failed and left its connections open.  A new connection that cannot be established proves that nothing
+        ran. Latencies must meet their target, as handshakes add to an overload.
         """
         overdue = self._context.now - record.last_response_at > self._monitor.latency.mean
         return overdue and self._monitor.target_pressure < 1.0 and not request.repeatable()
 
     def final_answer(self, request: Request, reason: FinishReason) -> RejectRequest | FailRequest:
-        """The answer to a request that is not served: a rejection where trying again is harmless."""
+        """The answer to a request that is not served: a rejection where the client may safely retry."""
         if not request.repeatable_anywhere() and request.first_possible_run() is not None:
             return FailRequest(request.id, reason)
         if not self._context.settings.retry_after_allowed:
             return RejectRequest(request.id, reason=reason)
-        after = RETRY_AFTER * request.request_class.latency_objective_ms
-        return RejectRequest(request.id, min(after, self._context.settings.max_retry_after_ms), reason)
+        after_ms = PARAMETERS.retry_after_objectives * request.request_class.latency_objective_ms
+        return RejectRequest(request.id, min(after_ms, self._context.settings.max_retry_after_ms), reason)
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -1,7 +1,9 @@
 """Selection: which endpoints an attempt of a request may be drawn from."""
 
+from __future__ import annotations
+
 from collections.abc import Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from load_balancer.policy.admission import sharing_nodes
 from load_balancer.policy.automaton import Automaton
@@ -15,14 +17,30 @@
 from load_balancer.state.endpoint_records import EndpointRecord
 from load_balancer.state.records import Request
 
-PANIC_THRESHOLD = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the servers
-SHARE_TIMES = 1.25  # a node's attempts at one endpoint may exceed its share of all in flight by this factor
-SHARE_PLUS = 0.5  # and this many before it is skipped
-WAITING_MAX = 4.0  # requests that may wait at a server, over all nodes, by its average against the baseline
+
+@dataclass(frozen=True, slots=True)
+class SelectionParameters:
+    """Which endpoints are skipped.
+
+    Attributes:
+        panic_fraction: with more than this part unhealthy, health is ignored, as the cause is not the
+            servers.
+        share_factor: an endpoint may hold its share of the attempts in flight by this factor,
+        share_allowance: and this many attempts more.
+        max_waiting: requests that may wait at a server, over all nodes, judged by its average latency.
+    """
+
+    panic_fraction: float = 0.5
+    share_factor: float = 1.25
+    share_allowance: float = 0.5
+    max_waiting: float = 4.0
+
+
+PARAMETERS = SelectionParameters()
 
 
 def permits(context: NodeContext, request: Request, record: EndpointRecord) -> bool:
-    """Whether an attempt of a request may go to an endpoint at all, by what its class allows."""
+    """Whether an attempt of a request may be sent to an endpoint at all, by what its class allows."""
     first = request.first_possible_run()
     if first is None or not record.listed:
         return record.listed
@@ -31,7 +49,7 @@
         return False
     if request_class.idempotency is not Idempotency.KEYED:
         return request_class.idempotency is Idempotency.IDEMPOTENT
-    # What is sent now may be written as late as a connection may be established: the key must be known then.
+    # The attempt may be written only when a connection is established; the key must still be known then.
     latest = context.now + settings.connect_timeout_ms + settings.tick_ms
     if latest >= first.sent_at + request_class.deduplication_window_ms:
         return False
@@ -42,7 +60,7 @@
 
 
 def may_send(context: NodeContext, request: Request, record: EndpointRecord) -> bool:
-    """Whether an attempt may be sent now: the last check, whatever has been asked before."""
+    """Whether an attempt may be sent now: the last check, independent of all earlier ones."""
     return (
         context.requests.by_id.get(request.id) is request
         and not request.response_started
@@ -53,7 +71,7 @@
 
 
 def permitted(context: NodeContext, request: Request) -> Sequence[int]:
-    """The indices of the drawable endpoints that an attempt of this request may go to."""
+    """The indices of the drawable endpoints that an attempt of this request may be sent to."""
     records = context.endpoints.drawable
     if not request.attempts:
         return range(len(records))
@@ -69,6 +87,11 @@
     subset: EndpointSubset
     slow_start: SlowStart
     monitor: CongestionMonitor
+    _max_waiting: float = field(init=False)
+    """This node's part of the requests that may wait at a server."""
+
+    def __post_init__(self) -> None:
+        self._max_waiting = max(1.0, PARAMETERS.max_waiting / sharing_nodes(self.context.settings))
 
     def draw(self, request: Request, final_attempt: bool) -> EndpointRecord | None:
         """The endpoint of the next attempt, None where none may get it."""
@@ -81,78 +104,96 @@
     def candidates(self, request: Request, final_attempt: bool) -> list[int]:
         """The indices that the draw is conditioned on.
 
-        Where the cause must lie in what all servers share, or for a final attempt, health is no guide.  The
-        circuit breakers hold also then: the attempt would most likely fail, where a rejection is harmless.
+        Health is ignored for a final attempt, and where so many endpoints are unhealthy that the cause must
+        be common to all.  Circuit breakers hold in any case: behind an open one the attempt would most likely
+        fail, while a rejection is harmless.
         """
-        allowed, kept_out = self._allowed(request)
+        allowed, excluded = self._allowed(request)
         usable = allowed
         if not final_attempt:
             usable, unhealthy = self._healthy(allowed, request)
-            if kept_out + unhealthy > PANIC_THRESHOLD * len(self.context.endpoints.drawable):
+            if excluded + unhealthy > PARAMETERS.panic_fraction * len(self.context.endpoints.drawable):
                 usable = allowed
         if request.attempts:
-            records = self.context.endpoints.drawable
-            tried = {attempt.endpoint.id for attempt in request.attempts}
-            untried = [i for i in usable if records[i].endpoint.id not in tried]
-            if untried or (request.in_flight and not final_attempt):
-                usable = untried
+            usable = self._prefer_untried(usable, request, final_attempt)
         return self.subset.prefer_local(usable)
 
+    def _prefer_untried(self, usable: list[int], request: Request, final_attempt: bool) -> list[int]:
+        """The usable endpoints without an attempt of this request.
+
+        Where there are none it is all usable ones, unless the request has an attempt in flight.
+        """
+        records = self.context.endpoints.drawable
+        tried = {attempt.endpoint.id for attempt in request.attempts}
+        untried = [i for i in usable if records[i].endpoint.id not in tried]
+        if untried or (request.in_flight and not final_attempt):
+            return untried
+        return usable
+
     def _allowed(self, request: Request) -> tuple[list[int], int]:
-        """What the repeat rules, slow start and circuit breakers allow, and how many the last keep out."""
+        """The endpoints that the rules, slow start and circuit breakers allow.
+
+        Returns:
+            Their indices, and the number of endpoints that circuit breakers exclude.
+        """
         now, records = self.context.now, self.context.endpoints.drawable
         slow_start, class_index = self.slow_start, request.class_index
+        capacity_fraction = slow_start.capacity_fraction
         allowed: list[int] = []
-        kept_out = 0
-        flow: float | None = None  # counted once, and only if a server warms up
-        least_rate = 0.0
+        excluded = 0
+        warm_rate: float | None = None  # calculated once, and only if a server warms up
+        min_rate = 0.0
         for i in permitted(self.context, request):
             record = records[i]
-            fraction = slow_start.capacity_fraction(record)
+            fraction = capacity_fraction(record)
             if fraction < 1.0:
-                if flow is None:
-                    flow, least_rate = slow_start.flow_per_warm_server(), slow_start.least_rate()
-                if not slow_start.admits(record, fraction, request.work, flow, least_rate):
+                if warm_rate is None:
+                    warm_rate, min_rate = slow_start.rate_per_warm_server(), slow_start.min_rate()
+                if not slow_start.admits(record, fraction, request.work, warm_rate, min_rate):
                     continue
             if admits_class(record, class_index, now):
                 allowed.append(i)
             else:
-                kept_out += 1
-        return allowed, kept_out
+                excluded += 1
+        return allowed, excluded
 
     def _healthy(self, allowed: list[int], request: Request) -> tuple[list[int], int]:
-        """Of the allowed those that are healthy and within their limits, and how many are unhealthy."""
+        """The allowed endpoints that are healthy and within their limits.
+
+        Returns:
+            Their indices, and the number of endpoints that are unhealthy.
+        """
         now, records = self.context.now, self.context.endpoints.drawable
         p, averages = self.automaton.p, self.automaton.average
         mean = self.automaton.mean() or 0.0
-        total = len(self.context.requests.attempts)
         timeout, baseline = self.monitor.latency.attempt_timeout(), self.monitor.baseline_latency
-        waiting_max = max(1.0, WAITING_MAX / sharing_nodes(self.context.settings))
+        max_waiting = self._max_waiting
+        share_factor, allowance = PARAMETERS.share_factor, PARAMETERS.share_allowance
+        total = len(self.context.requests.attempts)
         healthy: list[int] = []
         unhealthy = 0
         for i in allowed:
             record = records[i]
-            in_flight = len(record.in_flight)
-            outlier = record.outlier
+            outlier, in_flight = record.outlier, len(record.in_flight)
             if outlier.ejected or (in_flight and is_silent(record, timeout, now)):
                 unhealthy += 1
                 continue
-            if outlier.on_trial and (in_flight or self._keep_from_trials(request)):
+            if outlier.on_trial and (in_flight or self._spared_from_trials(request)):
                 continue
             if outlier.cooldown_until > now or in_flight + 1 > record.concurrency.limit:
                 continue
             average = averages[i]
-            # By Little's law this part of its attempts waits there; a server overloaded for long stays slow
-            # for long, and its own average shows that before the mean of all does.
-            if average and in_flight * (1.0 - baseline / average) > waiting_max:
+            # By Little's law this part of its attempts waits there. A server that was overloaded for long
+            # stays slow for long, and its own average shows that before the mean of all does.
+            if average and in_flight * (1.0 - baseline / average) > max_waiting:
                 continue
             share = p[i] * mean / average if average and average > mean else p[i]
-            if in_flight <= SHARE_PLUS + SHARE_TIMES * share * total:
+            if in_flight <= allowance + share_factor * share * total:
                 healthy.append(i)
         return healthy, unhealthy
 
-    def _keep_from_trials(self, request: Request) -> bool:
-        """Whether a request would be lost for good if a trial fails, and others can take the risk."""
+    def _spared_from_trials(self, request: Request) -> bool:
+        """Whether a failed trial would lose the request for good, while other classes can take that risk."""
         classes = self.context.settings.classes
         has_repeatable = any(c.idempotency is not Idempotency.NON_IDEMPOTENT for c in classes)
         return has_repeatable and not request.repeatable()
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -1,66 +1,89 @@
 """Slow start: the budget of a server that warms up."""
 
-from load_balancer.estimation.rates import FadingRate
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from load_balancer.estimation.rates import DecayingRate
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
 
-# The capacity that the settings give a warming server is the least of any: most have half as much again, and
-# fleets have capacity to spare at light load, which is when a warm server's part is learned.
-SLOW_START_MARGIN = 1.5
+
+@dataclass(frozen=True, slots=True)
+class SlowStartParameters:
+    """How much of a warm server's work a warming one gets.
+
+    Attributes:
+        margin: the work for each part of a warm server's capacity.  The settings name the least capacity of
+            any server: most have half as much again.
+        max_overload_fraction: the margin is at most this part of the multiple at which a server fails.
+        default_span_ms: the time over which the answered work is averaged where no warm-up time is set.
+    """
+
+    margin: float = 1.5
+    max_overload_fraction: float = 0.5
+    default_span_ms: float = 1000.0
+
+
+PARAMETERS = SlowStartParameters()
 
 
 class SlowStart:
-    """Bounds what warming servers get by what this node sends to warm ones."""
+    """Bounds the work of warming servers by the answered work of warm ones; alone in writing their budgets.
+
+    Work is in multiples of the mean request's, rates are in work per millisecond.
+    """
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         settings = context.settings
-        # By the work answered: what is sent overloads servers when fewer of them are left.
-        self._answered_work = FadingRate(settings.warm_up_ms or 1000.0, settings.overload_window_ms)
+        # Not the work sent: it overloads the remaining servers when others fail.
+        self._answered_work = DecayingRate(
+            settings.warm_up_ms or PARAMETERS.default_span_ms, settings.overload_window_ms
+        )
 
     def begin(self, record: EndpointRecord) -> None:
-        """Give a server that has just started a part of a request, so that nodes send at different times."""
+        """Set the budget of a server that has just started, at random, so that nodes do not send at once."""
         record.slow_start.tokens = self._context.rng.random()
         record.slow_start.updated_at = self._context.now
 
     def record_answer(self, record: EndpointRecord, work: float) -> None:
-        """Count the work of an answered attempt, which a warming server may get again if all are warming."""
+        """Count the work of an answered attempt; while all servers warm up it returns to the budget."""
         self._answered_work.add(work, self._context.now)
         if self.capacity_fraction(record) < 1.0 and self.all_warming():
             record.slow_start.tokens += work
 
-    def all_warming(self) -> bool:
-        """Whether no endpoint that is not ejected is warm: then nothing tells what a warm one sustains."""
-        records = self._context.endpoints.drawable
-        return all(r.outlier.ejected or self.capacity_fraction(r) < 1.0 for r in records)
-
     def record_send(self, record: EndpointRecord, work: float) -> None:
         """Take the work of an attempt out of its server's budget."""
         record.slow_start.tokens -= work
 
+    def all_warming(self) -> bool:
+        """Whether no endpoint is both warm and not ejected, so that none shows what a warm one sustains."""
+        records = self._context.endpoints.drawable
+        return all(r.outlier.ejected or self.capacity_fraction(r) < 1.0 for r in records)
+
     def capacity_fraction(self, record: EndpointRecord) -> float:
-        """The part of its capacity that a server has at the least by now: 1 once it is warm."""
-        start, settings = record.endpoint.started_ms, self._context.settings
-        if start <= 0 or self._context.now - start >= settings.warm_up_ms:
+        """The least part of its capacity that a server has by now: 1 once it is warm."""
+        started_ms, settings = record.endpoint.started_ms, self._context.settings
+        if started_ms <= 0 or self._context.now - started_ms >= settings.warm_up_ms:
             return 1.0
-        low = settings.initial_capacity
-        return low + (1.0 - low) * max(self._context.now - start, 0.0) / settings.warm_up_ms
+        initial = settings.initial_capacity
+        return initial + (1.0 - initial) * max(self._context.now - started_ms, 0.0) / settings.warm_up_ms
 
     def total_capacity(self) -> float:
-        """What the servers that are not ejected can do by now at the least, in warm servers."""
+        """The least capacity of all servers that are not ejected, in warm servers."""
         fraction = self.capacity_fraction
         return max(1.0, sum(fraction(r) for r in self._context.endpoints.drawable if not r.outlier.ejected))
 
-    def flow_per_warm_server(self) -> float:
-        """Work a millisecond that this node sends for each warm server's worth of capacity."""
+    def rate_per_warm_server(self) -> float:
+        """The rate of this node's answered work for each warm server's worth of capacity."""
         return self._answered_work.per_ms(self._context.now) / self.total_capacity()
 
-    def least_rate(self) -> float:
-        """Work a millisecond that this node may send to any warming server: all nodes one request a window.
+    def min_rate(self) -> float:
+        """The rate that a warming server gets in any case: zero while there is a warm server.
 
-        Zero while a warm server is there.  Where there is none a new node has seen no answer, its part of no
-        flow is nothing, and it would send nothing until the first server is warm.  Each answer gives back
-        what its attempt took, so that what all send then grows no faster than the servers answer.
+        Without a warm server a new node has no answered work to go by.  Then all nodes together may send one
+        request in an overload window; as answers return to the budget, the rate grows as the servers answer.
         """
         settings = self._context.settings
         if not self.all_warming():
@@ -68,18 +91,23 @@
         return 1.0 / (max(1, settings.node_count) * settings.overload_window_ms)
 
     def admits(
-        self, record: EndpointRecord, fraction: float, work: float, flow: float, least_rate: float
+        self,
+        record: EndpointRecord,
+        fraction: float,
+        work: float,
+        rate_per_warm_server: float,
+        min_rate: float,
     ) -> bool:
-        """Whether a warming server may get an attempt: the rising part of a warm one's flow, with a margin.
+        """Whether a warming server may get an attempt of this work; brings its budget up to date.
 
-        Every node does so alone; together they then send it its part of what warm servers sustain, which
-        leaves the rest of the multiple that it survives as a margin for chance and for heavy requests.
+        Each node applies its part alone.  Together they send a server its part of what warm servers sustain;
+        the rest of the multiple at which it fails remains for chance and for heavy requests.
         """
         now, settings = self._context.now, self._context.settings
-        rate = min(SLOW_START_MARGIN, 0.5 * settings.overload_multiple) * fraction * flow
-        rate = max(rate, least_rate)
-        most = max(1.0, rate * settings.overload_window_ms)
+        margin = min(PARAMETERS.margin, PARAMETERS.max_overload_fraction * settings.overload_multiple)
+        rate = max(margin * fraction * rate_per_warm_server, min_rate)
+        max_tokens = max(1.0, rate * settings.overload_window_ms)
         budget = record.slow_start
-        budget.tokens = min(most, budget.tokens + rate * (now - budget.updated_at))
+        budget.tokens = min(max_tokens, budget.tokens + rate * (now - budget.updated_at))
         budget.updated_at = now
-        return budget.tokens >= min(work, most)
+        return budget.tokens >= min(work, max_tokens)
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -1,68 +1,101 @@
-"""Endpoint subsetting and zone affinity: which of the usable endpoints a node keeps to."""
+"""Endpoint subsetting and zone affinity: the endpoints that a node prefers among the usable ones."""
+
+from __future__ import annotations
 
 import hashlib
 import math
 from collections.abc import Sequence
+from dataclasses import dataclass
 
 from load_balancer.events import EndpointId
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
 
-LOCAL_MIN = 2  # fewer endpoints than this in the subset or zone are no fleet to keep to
-SUBSET_SIZE = 6  # endpoints in a subset, up to twice as many: of so few half may fail and leave a choice
-SUBSET_NODES_MIN = 3  # nodes that must share each endpoint at the least, for their walks to cancel out
+_DIGEST_BYTES = 6
+
+
+@dataclass(frozen=True, slots=True)
+class SubsetParameters:
+    """When and how the endpoints are divided into subsets.
+
+    Attributes:
+        min_local: with fewer usable endpoints in the subset or zone a node does not keep to it.
+        size: endpoints in a subset, up to twice as many; half of so few may fail and still leave a choice.
+        min_nodes: nodes that must share each endpoint at the least, so that their random walks cancel out.
+    """
+
+    min_local: int = 2
+    size: int = 6
+    min_nodes: int = 3
+
+
+PARAMETERS = SubsetParameters()
 
 
 class EndpointSubset:
-    """The endpoints that this node prefers; those of the vector are marked in its order."""
+    """The endpoints that this node prefers.
+
+    Attributes:
+        chosen: whether each endpoint belongs to the subset, in the order of the probability vector.
+    """
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         self.chosen: list[bool] = []
 
     def prefer_local(self, usable: list[int]) -> list[int]:
-        """Of the usable, those in the subset while two are, else, where crossing has a cost, in the zone."""
+        """Of the usable endpoints those in the subset; else, where crossing has a cost, those in the zone.
+
+        Either set must hold at least two; otherwise these are all usable endpoints.
+        """
         chosen = self.chosen
         subset = [i for i in usable if chosen[i]]
-        if len(subset) >= LOCAL_MIN:
+        if len(subset) >= PARAMETERS.min_local:
             return subset
         settings, records = self._context.settings, self._context.endpoints.drawable
         if not settings.cross_zone_cost:
             return usable
         zone = [i for i in usable if records[i].endpoint.zone == settings.zone]
-        return zone if len(zone) >= LOCAL_MIN else usable
+        return zone if len(zone) >= PARAMETERS.min_local else usable
 
     def update(self) -> None:
         """Choose the subset from a new list; where few nodes share the endpoints it is all of them.
 
-        Without one a node hardly meets an endpoint again, and connections grow with nodes times endpoints.
+        Without subsets a node of many rarely sends to the same endpoint again, so that it learns little, and
+        the number of connections grows with nodes times endpoints.
         """
         settings, records = self._context.settings, self._context.endpoints.drawable
         local = [r for r in records if not settings.cross_zone_cost or r.endpoint.zone == settings.zone]
-        # A power of two: their number, which all subsets hang on, must not follow every change of the list.
-        subset_count = 1 << max(0, (len(local) // SUBSET_SIZE).bit_length() - 1)
+        # A power of two, as all subsets depend on it: it must not follow every change of the list.
+        subset_count = 1 << max(0, (len(local) // PARAMETERS.size).bit_length() - 1)
         chosen = {r.endpoint.id for r in local}
-        if subset_count > 1 and settings.node_count * SUBSET_SIZE >= SUBSET_NODES_MIN * len(records):
-            chosen = _deal(local, settings.node_index, subset_count)
+        many_nodes = settings.node_count * PARAMETERS.size >= PARAMETERS.min_nodes * len(records)
+        if subset_count > 1 and many_nodes:
+            chosen = _assign(local, settings.node_index, subset_count)
         self.chosen = [r.endpoint.id in chosen for r in records]
 
 
-def _deal(records: Sequence[EndpointRecord], node_index: int, subset_count: int) -> set[EndpointId]:
+def _assign(records: Sequence[EndpointRecord], node_index: int, subset_count: int) -> set[EndpointId]:
     """A node's subset of so many, with machine types in proportion.
 
-    Nodes are dealt to evenly spaced places of a ring, on which the endpoints lie by hash; every round of the
-    dealing has a ring of its own, so that all endpoints are met alike, and a new list moves few subsets.
+    Endpoints lie on a ring by hash.  Each round of subset_count nodes has a ring of its own, on which the
+    nodes are spaced evenly and take the endpoints that follow.  So all endpoints get the same number of
+    nodes, and a new list changes few subsets.
     """
-    deal_round, place = divmod(node_index, subset_count)
+    ring_number, place = divmod(node_index, subset_count)
     start = place / subset_count
     rings: dict[int, list[tuple[float, EndpointId]]] = {}
     for record in records:
-        name = record.endpoint.id
-        digest = hashlib.blake2b(name + deal_round.to_bytes(4, "big"), digest_size=6).digest()
-        # From this node's place onwards, in parts of the whole ring.
-        ahead = (int.from_bytes(digest, "big") / 2**48 - start) % 1.0
-        rings.setdefault(record.endpoint.machine_type, []).append((ahead, name))
+        distance = (_ring_position(record.endpoint.id, ring_number) - start) % 1.0
+        rings.setdefault(record.endpoint.machine_type, []).append((distance, record.endpoint.id))
     chosen: set[EndpointId] = set()
     for ring in rings.values():
         chosen.update(name for _, name in sorted(ring)[: math.ceil(len(ring) / subset_count)])
     return chosen
+
+
+def _ring_position(endpoint_id: EndpointId, ring_number: int) -> float:
+    """Where an endpoint lies on a ring, as a part of its length."""
+    content = endpoint_id + ring_number.to_bytes(4, "big")
+    digest = hashlib.blake2b(content, digest_size=_DIGEST_BYTES).digest()
+    return int.from_bytes(digest, "big") / (1 << 8 * _DIGEST_BYTES)
--- a/load_balancer/state/context.py
+++ b/load_balancer/state/context.py
@@ -14,18 +14,18 @@
 
 
 class NodeContext:
-    """The surroundings of a part of the policy; decides nothing.
+    """What the parts of one policy share; decides nothing.
 
     Attributes:
         settings: the node's settings.
         rng: the one source of randomness.
-        now: the time of the present event.
-        objective_ms: the latency objective of the most urgent class, the unit of most spans.
+        now: the time of the event that is being handled.
+        objective_ms: the shortest latency objective of any class, the unit of most durations.
         endpoints: the records of endpoints.
         requests: the records of requests and attempts.
         sequence: numbers requests, timers and wake-ups in one order.
-        timers: the timers that are pending.
-        actions: what the present event has led to so far.
+        timers: the pending timers.
+        actions: the actions that follow from the event so far.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -40,12 +40,12 @@
         self.actions: list[Action] = []
 
     def begin_event(self, now: float) -> None:
-        """Start on an event."""
+        """Start to handle an event."""
         self.now = now
         self.actions = []
 
     def end_event(self) -> list[Action]:
-        """The actions that the event has led to, with the wake-up that is needed next."""
+        """The actions that follow from the event, and the next wake-up if one is needed."""
         wake_up = self.timers.wake_up()
         if wake_up is not None:
             self.actions.append(wake_up)
@@ -54,9 +54,9 @@
     def schedule(
         self, at: float, kind: TimerKind, request_id: RequestId = 0, endpoint_id: EndpointId = b""
     ) -> None:
-        """Have a timer fire at or after a time."""
+        """Schedule a timer for this time."""
         self.timers.schedule(at, Timer(kind, request_id, endpoint_id))
 
     def log(self, name: str, **fields: LogValue) -> None:
-        """Add an event for the operators' log; a field that is a keyword of Python ends in an underscore."""
+        """Add a log line; the name of a field that is a keyword of Python takes an underscore at its end."""
         self.actions.append(LogEvent(name, tuple((key.rstrip("_"), v) for key, v in fields.items())))
--- a/load_balancer/state/records.py
+++ b/load_balancer/state/records.py
@@ -24,7 +24,7 @@
 
     Attributes:
         record: the record of the endpoint that it was sent to.
-        endpoint: that endpoint's row in the list at the time.
+        endpoint: that endpoint's row in the endpoint list when the attempt was sent.
         sent_at: when it was sent.
         work: its work, as a multiple of the mean request's.
         class_index: its request's class.
@@ -49,21 +49,21 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request that this node owes an answer.
+    """A request that this node has to answer.
 
     Attributes:
         id: the host's number for it.
         request_class: its class.
         class_index: that class's position in the settings.
-        deadline: until when an answer is of use.
+        deadline: when its client stops waiting.
         work: its work, as a multiple of the mean request's.
-        priority: what an answer is worth, for its order in the queue.
+        priority: its priority in the queue.
         sequence: its place in the order of arrival.
-        admission_draw: a number in [0, 1) that settles the fraction of the concurrency limit.
+        admission_draw: a random number in [0, 1) that settles the fraction of the concurrency limit.
         attempts: its attempts in order.
-        in_flight: how many of them are in flight.
-        queued: it waits to be placed.
-        queued_until: until when it may wait.
+        in_flight: the number of attempts in flight.
+        queued: it waits in the queue.
+        queued_until: when its timeout in the queue passes.
         response_started: a streamed response has begun.
     """
 
@@ -86,7 +86,7 @@
         return self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def repeatable_anywhere(self) -> bool:
-        """Whether a second execution does no harm, whichever server it is at."""
+        """Whether a second execution does no harm on any server."""
         if self.request_class.idempotency is Idempotency.KEYED:
             return self.request_class.deduplication_scope is DeduplicationScope.ALL
         return self.request_class.idempotency is Idempotency.IDEMPOTENT
@@ -101,11 +101,11 @@
 
 
 class RequestTable:
-    """The requests that are owed an answer, and all attempts in flight.
+    """The requests that have to be answered, and all attempts in flight.
 
     Attributes:
         by_id: the requests.
-        attempts: the attempts in flight, also those of requests that have their answer.
+        attempts: the attempts in flight, also those of answered requests.
     """
 
     def __init__(self) -> None:
@@ -120,11 +120,11 @@
             raise UnexpectedEventError(f"request {event.request_id} arrived twice")
 
     def take(self, request_id: RequestId) -> Request | None:
-        """Take a request out that needs no answer any more; None where it is out already."""
+        """Remove and return a request that needs no answer any more; None where it is removed already."""
         return self.by_id.pop(request_id, None)
 
     def start_attempt(self, request: Request, record: EndpointRecord, now: float) -> None:
-        """Enter the next attempt of a request."""
+        """Record the next attempt of a request."""
         key = (request.id, len(request.attempts))
         attempt = Attempt(record, record.endpoint, now, request.work, request.class_index)
         self.attempts[key] = attempt
@@ -134,7 +134,7 @@
         record.in_flight_by_class[request.class_index] += 1
 
     def attempt(self, event: ResponseStarted | AttemptEnded) -> Attempt:
-        """The attempt that an event is about.
+        """The attempt that an event refers to.
 
         Raises:
             UnexpectedEventError: it is not in flight.
@@ -147,7 +147,11 @@
         return attempt
 
     def end_attempt(self, event: AttemptEnded) -> Attempt:
-        """Take an attempt out that has ended; UnexpectedEventError where it is not in flight."""
+        """Remove and return an attempt that has ended.
+
+        Raises:
+            UnexpectedEventError: it is not in flight.
+        """
         attempt = self.attempt(event)
         key = (event.request_id, event.attempt_number)
         del self.attempts[key]
--- a/load_balancer/state/request_queue.py
+++ b/load_balancer/state/request_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait, by priority and then age."""
+"""The requests that wait to be placed, by priority and then age."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 class RequestQueue:
     """A sorted queue; the first request has the highest priority.
 
-    While any request waits, a QUEUE_CHECK timer fires at least every check_ms.
+    While any request waits, a QUEUE_CHECK timer fires at least once in each check interval.
     """
 
-    def __init__(self, context: NodeContext, check_ms: float) -> None:
+    def __init__(self, context: NodeContext, check_interval_ms: float) -> None:
         self._context = context
-        self._check_ms = check_ms
+        self._check_interval_ms = check_interval_ms
         self._check_at = math.inf
         self._entries: list[tuple[float, int, Request]] = []
 
@@ -28,29 +28,30 @@
     def __getitem__(self, position: int) -> Request:
         return self._entries[position][2]
 
-    def add(self, request: Request, timeout: float) -> None:
-        """Queue a request for so many milliseconds."""
-        request.queued, request.queued_until = True, self._context.now + timeout
+    def add(self, request: Request, timeout_ms: float) -> None:
+        """Queue a request with this timeout."""
+        request.queued = True
+        request.queued_until = self._context.now + timeout_ms
         insort(self._entries, (-request.priority, request.sequence, request))
 
     def remove(self, request: Request) -> None:
-        """Take a request out, if it is queued."""
+        """Remove a request, if it is queued."""
         if request.queued:
             request.queued = False
             self._entries.remove((-request.priority, request.sequence, request))
 
     def expired(self) -> list[Request]:
-        """At a check: the requests that have waited until their time."""
+        """The requests whose timeout has passed; to be called when the check timer fires."""
         self._check_at = math.inf
         now = self._context.now
         return [request for _, _, request in self._entries if request.queued_until <= now]
 
     def schedule_check(self) -> None:
-        """Have the timer fire in time for the next check."""
+        """Schedule the timer for the next check, unless it fires early enough already."""
         if not self._entries:
             return
-        earliest = min(entry[2].queued_until for entry in self._entries)
-        at = min(self._context.now + self._check_ms, earliest)
+        earliest = min(request.queued_until for _, _, request in self._entries)
+        at = min(self._context.now + self._check_interval_ms, earliest)
         if at < self._check_at:
             self._check_at = at
             self._context.schedule(at, TimerKind.QUEUE_CHECK)
--- a/load_balancer/state/timer_queue.py
+++ b/load_balancer/state/timer_queue.py
@@ -1,4 +1,4 @@
-"""The policy's timers, on the one wake-up that it asks its host for at a time."""
+"""The policy's timers, which share the wake-ups that it requests from its host."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class TimerKind(Enum):
-    """What is due when a timer fires."""
+    """What has to be done when a timer fires."""
 
     LATE_ATTEMPT = auto()
-    """An attempt of a request is late."""
+    """Check whether an attempt of a request is late."""
 
     ENDPOINT_LIST_POLL = auto()
-    """The endpoint list is to be polled."""
+    """Poll the endpoint list."""
 
     READMISSION = auto()
-    """An ejected endpoint may come back."""
+    """Try to readmit an ejected endpoint."""
 
     QUEUE_CHECK = auto()
-    """Requests may have waited in the queue for long enough."""
+    """Look for queued requests whose timeout has passed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,28 +37,28 @@
 
 
 class TimerQueue:
-    """Timers by the time at which they are due; sequence numbers them and the tokens of wake-ups."""
+    """Timers by the time at which they are due; the sequence numbers both timers and wake-ups."""
 
     def __init__(self, sequence: Iterator[int]) -> None:
         self._sequence = sequence
         self._timers: list[tuple[float, int, Timer]] = []
-        self._wake_ups: dict[int, float] = {}  # those asked for and not fired yet, by token
+        self._wake_ups: dict[int, float] = {}  # the pending ones, by token
 
     def schedule(self, at: float, timer: Timer) -> None:
-        """Have a timer fire at or after a time."""
+        """Schedule a timer for this time."""
         heapq.heappush(self._timers, (at, next(self._sequence), timer))
 
     def due(self, now: float, token: int) -> Iterator[Timer]:
-        """Take out what is due at a wake-up, one by one, also what is scheduled for now meanwhile."""
+        """Remove the timers that are due at a wake-up, one by one, also those added during the iteration."""
         self._wake_ups.pop(token, None)
         while self._timers and self._timers[0][0] <= now:
             yield heapq.heappop(self._timers)[2]
 
     def wake_up(self) -> SetTimer | None:
-        """The wake-up to request, where none is pending that comes soon enough.
+        """The wake-up to request, None where one is pending that comes early enough.
 
-        One that was asked for cannot be withdrawn: where an earlier one was needed meanwhile it is still
-        pending, and is not asked for again.
+        A wake-up cannot be withdrawn.  Where an earlier one is requested meanwhile the later one stays
+        pending, and is not requested again.
         """
         if not self._timers:
             return None
--- a/tests/policy/test_automaton.py
+++ b/tests/policy/test_automaton.py
@@ -98,9 +98,9 @@
     automaton = fleet(1, 1, 1)
     automaton.learn(NAMES[0], 100.0)
     before = list(automaton.p)
-    automaton.charge(NAMES[1], 1.0)  # a fast error counts as the mean
+    automaton.learn_failure(NAMES[1], 1.0)  # a fast error counts as the mean
     assert automaton.p == before and automaton.mean() == pytest.approx(100.0)
-    automaton.charge(NAMES[1], 1e6)  # a long silence is capped
+    automaton.learn_failure(NAMES[1], 1e6)  # a long silence is capped
     assert automaton.average[1] == pytest.approx(100 + AVERAGE_STEP * (3 * 100 - 100))
 
 
@@ -168,7 +168,7 @@
 operations = st.lists(
     st.one_of(
         st.tuples(st.just("learn"), st.integers(0, 39), st.floats(0.01, 1e5)),
-        st.tuples(st.just("charge"), st.integers(0, 39), st.floats(0.0, 1e5)),
+        st.tuples(st.just("learn_failure"), st.integers(0, 39), st.floats(0.0, 1e5)),
         st.tuples(st.just("resize"), st.integers(0, 2**40 - 1), st.floats(0.1, 8.0)),
     ),
     max_size=60,
@@ -182,8 +182,8 @@
     for operation, n, x in steps:
         if operation == "learn":
             automaton.learn(NAMES[n], x)
-        elif operation == "charge":
-            automaton.charge(NAMES[n], x)
+        elif operation == "learn_failure":
+            automaton.learn_failure(NAMES[n], x)
         else:
             automaton.resize({s: (x if i % 2 else 1.0) for i, s in enumerate(NAMES) if n >> i & 1})
         if automaton.p:
