--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -74,20 +74,23 @@
             UnexpectedEventError: the event names a request, attempt or class that never existed.
         """
         self.context.begin_event(now)
-        if isinstance(event, events.AttemptEnded):
-            self._on_attempt_ended(event)
-        elif isinstance(event, events.RequestArrived):
-            self._on_request_arrived(event)
-        elif isinstance(event, events.TimerFired):
-            self._on_timer(event)
-        elif isinstance(event, events.EndpointListUpdate):
-            self._on_endpoint_list(event)
-        elif isinstance(event, events.RequestAbandoned):
-            self._on_request_abandoned(event)
-        elif isinstance(event, events.HealthCheckEnded):
-            self.outliers.on_health_check(event)
-        elif isinstance(event, events.ResponseStarted):
-            self._on_response_started(event)
+        match event:
+            case events.AttemptEnded():
+                self._on_attempt_ended(event)
+            case events.RequestArrived():
+                self._on_request_arrived(event)
+            case events.TimerFired():
+                self._on_timer(event)
+            case events.EndpointListUpdate():
+                self._on_endpoint_list(event)
+            case events.RequestAbandoned():
+                self._on_request_abandoned(event)
+            case events.HealthCheckEnded():
+                self.outliers.on_health_check(event)
+            case events.ResponseStarted():
+                self._on_response_started(event)
+            case events.PeerMessage():
+                pass
         self._place_queued()
         return self.context.end_event()
 
@@ -164,14 +167,15 @@
 
     def _on_timer(self, event: events.TimerFired) -> None:
         for timer in self.context.timers.due(self.context.now, event.token):
-            if timer.kind is TimerKind.LATE_ATTEMPT:
-                self._on_late_attempt(timer.request_id)
-            elif timer.kind is TimerKind.QUEUE_CHECK:
-                self._expire_queued()
-            elif timer.kind is TimerKind.ENDPOINT_LIST_POLL:
-                self.poller.on_timer()
-            elif timer.kind is TimerKind.READMISSION:
-                self.outliers.on_readmission_timer(timer.endpoint_id)
+            match timer.kind:
+                case TimerKind.LATE_ATTEMPT:
+                    self._on_late_attempt(timer.request_id)
+                case TimerKind.QUEUE_CHECK:
+                    self._expire_queued()
+                case TimerKind.ENDPOINT_LIST_POLL:
+                    self.poller.on_timer()
+                case TimerKind.READMISSION:
+                    self.outliers.on_readmission_timer(timer.endpoint_id)
 
     def _on_late_attempt(self, request_id: events.RequestId) -> None:
         """Hedge a late attempt, cancel it where hedging is forbidden, or check it again later."""
@@ -190,7 +194,7 @@
     def _place_queued(self) -> None:
         """Send attempts for queued requests, in the order of their priority."""
         queue, skipped = self.queue, 0
-        while skipped < min(len(queue), QUEUE_SCAN_LIMIT):
+        while skipped < len(queue) and skipped < QUEUE_SCAN_LIMIT:
             request = queue[skipped]
             if not self.concurrency.admits(request):
                 break  # a request of lower priority must not pass by the chance of its admission draw
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -64,11 +64,15 @@
 
     def capacity_fraction(self, record: EndpointRecord) -> float:
         """The least part of its capacity that a server has by now: 1 once it is warm."""
-        started_ms, settings = record.endpoint.started_ms, self._context.settings
-        if started_ms <= 0 or self._context.now - started_ms >= settings.warm_up_ms:
+        started_ms = record.endpoint.started_ms
+        if started_ms <= 0:
+            return 1.0
+        settings = self._context.settings
+        age_ms = self._context.now - started_ms
+        if age_ms >= settings.warm_up_ms:
             return 1.0
         initial = settings.initial_capacity
-        return initial + (1.0 - initial) * max(self._context.now - started_ms, 0.0) / settings.warm_up_ms
+        return initial + (1.0 - initial) * max(age_ms, 0.0) / settings.warm_up_ms
 
     def total_capacity(self) -> float:
         """The least capacity of all servers that are not ejected, in warm servers."""
--- a/load_balancer/state/timer_queue.py
+++ b/load_balancer/state/timer_queue.py
@@ -63,7 +63,7 @@
         if not self._timers:
             return None
         earliest = self._timers[0][0]
-        if any(at <= earliest for at in self._wake_ups.values()):
+        if self._wake_ups and min(self._wake_ups.values()) <= earliest:
             return None
         token = next(self._sequence)
         self._wake_ups[token] = earliest
