--- a/load_balancer/actions.py
+++ b/load_balancer/actions.py
@@ -18,10 +18,10 @@
 
     UNKNOWN = "unknown"
     OVERLOADED = "overloaded"
-    """It waited in vain for room within the concurrency limit."""
+    """The concurrency limit left no capacity for it until its queue timeout."""
 
     NO_ENDPOINT = "no_endpoint"
-    """It waited in vain for an endpoint that may get it."""
+    """No endpoint could be used for it until its queue timeout."""
 
     CLIENT_ERROR = "client_error"
     """A server found the request itself invalid."""
@@ -30,12 +30,12 @@
     OUT_OF_TIME = "out_of_time"
     RETRY_BUDGET = "retry_budget"
     NOT_REPEATABLE = "not_repeatable"
-    """It may have run, and its class forbids another attempt at any endpoint that is listed."""
+    """It may have run, and its class forbids another attempt at every listed endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Start the request's next attempt; a timeout_ms of 0 waits until the client's deadline."""
+    """Start the request's next attempt; with a timeout_ms of 0 it may last until the client's deadline."""
 
     request_id: RequestId
     endpoint_id: EndpointId
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not served, and a retry is harmless; a retry_after_ms of 0 gives no Retry-After."""
+    """Final answer: not served, and a retry is harmless; a retry_after_ms of 0 means no Retry-After."""
 
     request_id: RequestId
     retry_after_ms: float = 0.0
--- a/load_balancer/events.py
+++ b/load_balancer/events.py
@@ -1,7 +1,7 @@
 """The events that a host hands to the policy.
 
 Times are in milliseconds on the host's clock, which never goes backwards.  Endpoint ids are opaque bytes and
-request ids opaque numbers; the policy hands both back as it got them.
+request ids opaque numbers; the policy returns both unchanged in its actions.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class UnexpectedEventError(ValueError):
-    """An event that names a request, attempt or class that never existed: the host has a fault."""
+    """An event names a request, attempt or class that never existed, which is a fault of the host."""
 
 
 class EndpointState(Enum):
@@ -29,7 +29,7 @@
     """How an endpoint list relates to the one before it."""
 
     FAILED = 0
-    """No list: a poll failed or a watch broke."""
+    """There is no list, as a poll failed or a watch broke."""
 
     DELTA = 1
     """The endpoints that changed since the last list."""
@@ -57,10 +57,10 @@
     """The attempt was abandoned before any of it was written to a server."""
 
     MALFORMED_RESPONSE = "malformed_response"
-    """The answer was no valid response: the request may have run, and little can be said of its server."""
+    """The response was not valid: the request may have run, and it says little of its server."""
 
     CLIENT_ERROR = "client_error"
-    """The server found the request itself invalid: a retry would fail the same way."""
+    """The server found the request itself invalid, so that a retry would fail in the same way."""
 
 
 NOT_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
@@ -78,7 +78,7 @@
         machine_type: its kind of machine, by position in the settings.
         zone: its zone, by position in the settings.
         cell: the group of servers with which it shares the idempotency keys it has seen.
-        started_ms: when its process last started; 0 where that was long ago.
+        started_ms: when its process last started, 0 if that was long ago.
     """
 
     id: EndpointId
@@ -104,7 +104,7 @@
     """A client's request, which must get one final answer within budget_ms.
 
     Attributes:
-        request_id: the host's number for it, never used twice.
+        request_id: the host's number for it, which is never used twice.
         class_index: its class, by position in the settings.
         budget_ms: the time left until its deadline.
         tenant: its tenant, by position in the settings.
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun: its attempt has no timeout any more, and the request no deadline."""
+    """A streamed response has begun: from now on its attempt has no timeout and the request no deadline."""
 
     request_id: RequestId
     attempt_number: int
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; finished where the request needs no further answer."""
+    """The one outcome of an attempt; ``finished`` says that the request needs no further answer."""
 
     request_id: RequestId
     attempt_number: int
@@ -173,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A gossip message from another node of the tier; the policy does not use these."""
+    """A gossip message from another node of the tier, which the policy ignores."""
 
     sender: int
     body: bytes
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -11,12 +11,24 @@
 from dataclasses import dataclass
 from enum import Enum
 
+DEFAULT_PRIORITY_WEIGHT = 1.0
+DEFAULT_OVER_QUOTA_WEIGHT = 1.0
+DEFAULT_POLL_WITHIN_MS = 10_000.0
+DEFAULT_INITIAL_CAPACITY = 0.3
+DEFAULT_OVERLOAD_MULTIPLE = 3.0
+DEFAULT_OVERLOAD_WINDOW_MS = 1000.0
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+DEFAULT_TICK_MS = 1.0
+
+SMALLEST_DURATION_MS = 1e-6
+"""The least value of a duration that must not be zero."""
+
 
 class SettingsError(ValueError):
-    """A setting that is missing, cannot be read or is out of its range.
+    """A setting is missing, cannot be read or is out of its range.
 
     Attributes:
-        key: the setting's name: a field here, a documented path where it was read.
+        key: the setting's name: a field of the settings types, or the documented path where it was read.
         problem: what is wrong with it, including its value.
     """
 
@@ -30,13 +42,13 @@
     """What a second execution of a request would do."""
 
     IDEMPOTENT = "safe"
-    """Nothing: the request may be repeated freely."""
+    """It would do nothing: the request may be repeated freely."""
 
     KEYED = "keyed"
-    """Nothing while the servers remember its idempotency key."""
+    """It would do nothing while the servers remember the request's idempotency key."""
 
     NON_IDEMPOTENT = "unsafe"
-    """Harm: the request must not run twice."""
+    """It would do harm: the request must not run twice."""
 
 
 class DeduplicationScope(Enum):
@@ -56,9 +68,9 @@
         latency_objective_ms: an answer within this time has its full value.
         deadline_ms: how long a client waits for an answer.
         priority_weight: the value of an answer within the objective.
-        late_weight: the fraction of that value which a later answer has.
+        late_weight: the fraction of that value that a later answer has.
         idempotency: what a second execution would do.
-        deduplication_scope: the servers that discard a repeat of the same key.
+        deduplication_scope: the servers that discard a repetition of the same key.
         deduplication_window_ms: how long they remember a key, from the first attempt that may have run.
         streaming: responses are forwarded while they arrive.
         latency_objective_stretch: the objective grows by this multiple of the request's own work.
@@ -67,7 +79,7 @@
     name: str
     latency_objective_ms: float
     deadline_ms: float
-    priority_weight: float = 1.0
+    priority_weight: float = DEFAULT_PRIORITY_WEIGHT
     late_weight: float = 0.0
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
@@ -77,7 +89,7 @@
 
     def __post_init__(self) -> None:
         """Raise SettingsError for a value out of its range."""
-        _check_range(self, 1e-6, "latency_objective_ms", "deadline_ms")
+        _check_range(self, SMALLEST_DURATION_MS, "latency_objective_ms", "deadline_ms")
         _check_range(
             self,
             0.0,
@@ -90,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One of the clients' organisations that share the service.
+    """One of the organisations whose clients share the service.
 
     Attributes:
         name: the tenant as requests name it.
@@ -123,11 +135,11 @@
         retry_after_allowed: a rejection may carry a Retry-After.
         max_retry_after_ms: the longest Retry-After that clients observe.
         priority_by_work: the priority of a request grows with its work.
-        over_quota_weight: the fraction of its priority weight that a request beyond its tenant's quota keeps.
+        over_quota_weight: the factor on the priority of a request beyond its tenant's quota.
         poll_endpoint_list: the node polls for the endpoint list; otherwise changes are pushed.
         poll_within_ms: the longest time between two polls.
         use_endpoint_weights: the weights in the endpoint list are meaningful.
-        propagates_deadline: a request to the next tier carries the time left of the one that caused it.
+        propagates_deadline: a request to the next tier carries the time left until its deadline.
         response_slack_ms: how long after its deadline a final answer still counts.
         drain_grace_ms: how long after the node was notified of a drain an attempt may still be sent.
         initial_capacity: the capacity of a server that has just started, as a fraction of its full one.
@@ -155,19 +167,19 @@
     retry_after_allowed: bool = True
     max_retry_after_ms: float = 1000.0
     priority_by_work: bool = False
-    over_quota_weight: float = 1.0
+    over_quota_weight: float = DEFAULT_OVER_QUOTA_WEIGHT
     poll_endpoint_list: bool = False
-    poll_within_ms: float = 10_000.0
+    poll_within_ms: float = DEFAULT_POLL_WITHIN_MS
     use_endpoint_weights: bool = False
     propagates_deadline: bool = True
     response_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    initial_capacity: float = 0.3
+    initial_capacity: float = DEFAULT_INITIAL_CAPACITY
     warm_up_ms: float = 10_000.0
-    overload_multiple: float = 3.0
-    overload_window_ms: float = 1000.0
-    connect_timeout_ms: float = 250.0
-    tick_ms: float = 1.0
+    overload_multiple: float = DEFAULT_OVERLOAD_MULTIPLE
+    overload_window_ms: float = DEFAULT_OVERLOAD_WINDOW_MS
+    connect_timeout_ms: float = DEFAULT_CONNECT_TIMEOUT_MS
+    tick_ms: float = DEFAULT_TICK_MS
     cross_zone_cost: float = 0.0
     load_report_fields: tuple[str, ...] = ()
 
@@ -182,11 +194,11 @@
         _check_range(
             self, 0.0, "max_retry_after_ms", "over_quota_weight", "cross_zone_cost", "response_slack_ms"
         )
-        _check_range(self, 1e-6, "poll_within_ms")
+        _check_range(self, SMALLEST_DURATION_MS, "poll_within_ms")
 
 
-def _check_range(values: object, least: float, *names: str) -> None:
+def _check_range(values: object, minimum: float, *names: str) -> None:
     for name in names:
         value = getattr(values, name)
-        if not least <= value < math.inf:
+        if not minimum <= value < math.inf:
             raise SettingsError(name, f"is out of range: {value}")
--- a/load_balancer/settings_format.py
+++ b/load_balancer/settings_format.py
@@ -1,4 +1,4 @@
-"""Reads typed settings from the documented path to value pairs.
+"""Reads typed settings from pairs of documented paths and values.
 
 The simulator's wire and a node's configuration file carry the same settings, so both are read here; the
 rest of the package knows settings by the names of their fields.
@@ -12,6 +12,15 @@
 from typing import TypeVar
 
 from load_balancer.settings import (
+    DEFAULT_CONNECT_TIMEOUT_MS,
+    DEFAULT_INITIAL_CAPACITY,
+    DEFAULT_OVER_QUOTA_WEIGHT,
+    DEFAULT_OVERLOAD_MULTIPLE,
+    DEFAULT_OVERLOAD_WINDOW_MS,
+    DEFAULT_POLL_WITHIN_MS,
+    DEFAULT_PRIORITY_WEIGHT,
+    DEFAULT_TICK_MS,
+    SMALLEST_DURATION_MS,
     DeduplicationScope,
     Idempotency,
     RequestClass,
@@ -22,16 +31,9 @@
 
 EnumType = TypeVar("EnumType", bound=Enum)
 
-DEFAULT_POLL_WITHIN_MS = 10_000.0
-DEFAULT_INITIAL_CAPACITY = 0.3
-DEFAULT_OVERLOAD_MULTIPLE = 3.0
-DEFAULT_OVERLOAD_WINDOW_MS = 1000.0
-DEFAULT_CONNECT_TIMEOUT_MS = 250.0
-SMALLEST_DURATION_MS = 1e-6
-
 
 class SettingsReader:
-    """Typed, checked look-ups in path to value pairs; every SettingsError names the path."""
+    """Typed and checked look-ups in pairs of paths and values; every SettingsError names the path."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self._values = values
@@ -89,7 +91,7 @@
 
 
 def read_settings(values: Mapping[str, str]) -> Settings:
-    """Settings from path to value pairs; unknown paths are ignored.
+    """Settings from pairs of paths and values; unknown paths are ignored.
 
     Raises:
         SettingsError: a value is missing, cannot be read or is out of its range.
@@ -113,7 +115,7 @@
         retry_after_allowed=reader.flag("policyLimits.retryAfter", False),
         max_retry_after_ms=reader.number("policyLimits.maxRetryAfterMs", 0.0),
         priority_by_work=reader.text("worthBy", "request") == "work",
-        over_quota_weight=reader.number("overShareWorth", 1.0),
+        over_quota_weight=reader.number("overShareWorth", DEFAULT_OVER_QUOTA_WEIGHT),
         poll_endpoint_list=reader.text("registryMode", "pushed") == "on_request",
         poll_within_ms=reader.number("guarantees.mustAskInMs", DEFAULT_POLL_WITHIN_MS, 1.0),
         use_endpoint_weights=reader.text("weights", "off") != "off",
@@ -125,7 +127,7 @@
         overload_multiple=reader.number("guarantees.fallMultiple", DEFAULT_OVERLOAD_MULTIPLE),
         overload_window_ms=reader.number("guarantees.overloadForMs", DEFAULT_OVERLOAD_WINDOW_MS),
         connect_timeout_ms=reader.number("policyLimits.connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS),
-        tick_ms=reader.number("tickMs", 1.0),
+        tick_ms=reader.number("tickMs", DEFAULT_TICK_MS),
         cross_zone_cost=reader.number("tariffs.crossZone", 0.0),
         load_report_fields=reader.names("loadInfo.columns"),
     )
@@ -138,7 +140,7 @@
         name=reader.text(f"{path}.name", ""),
         latency_objective_ms=reader.number(f"{path}.aimMs", minimum=SMALLEST_DURATION_MS),
         deadline_ms=reader.number(f"{path}.deadlineMs", minimum=SMALLEST_DURATION_MS),
-        priority_weight=reader.number(f"{path}.worth", 1.0),
+        priority_weight=reader.number(f"{path}.worth", DEFAULT_PRIORITY_WEIGHT),
         late_weight=reader.number(f"{path}.lateShare", 0.0),
         idempotency=idempotency,
         deduplication_scope=reader.member(f"{path}.group", DeduplicationScope, "all"),
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -56,7 +56,7 @@
 
 
 class WireError(Exception):
-    """Input that cannot be read or that names something unknown.
+    """The input cannot be read or names something unknown.
 
     Attributes:
         location: the part of the input at fault, such as a record with its code.
@@ -130,7 +130,7 @@
 
 
 def _read_up_to(source: BinaryIO, size: int) -> bytes:
-    """So many bytes, fewer only at the end of the input; a single read from a pipe may give fewer."""
+    """Bytes of this size, fewer only at the end of the input; one read from a pipe may return fewer."""
     parts: list[bytes] = []
     missing = size
     while missing:
--- a/load_balancer/simulator/decoding.py
+++ b/load_balancer/simulator/decoding.py
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance starts, with nothing known but its settings and the seed of its random numbers."""
+    """An instance starts with its settings and the seed of its random numbers, and no other state."""
 
     seed: int
     settings: Settings
@@ -102,7 +102,7 @@
 class Decoder:
     """Decodes records in the order of the wire.
 
-    It keeps the numbered endpoint tables, which all instances of the process share: a table is sent once for
+    It keeps the numbered endpoint tables, which all instances of the process share.  A table is sent once for
     the many endpoint list updates that refer to it, and its number may be reused within a batch.
     """
 
@@ -140,7 +140,7 @@
     def _decode_endpoint_list_update(self, fields: bytes) -> Record:
         instance_id, version, table_number, kind_number = _ENDPOINT_LIST_UPDATE.unpack_from(fields)
         kind = EndpointListKind(kind_number)
-        # The table number has no meaning where the list could not be had.
+        # The table number has no meaning where there is no list.
         endpoints = () if kind is EndpointListKind.FAILED else self._tables[table_number]
         return instance_id, EndpointListUpdate(kind, endpoints, version)
 
@@ -226,7 +226,7 @@
 
 
 def _load_report(fields: bytes, start: int, value_count: int) -> tuple[float, ...]:
-    """The values at this position; most records carry none."""
+    """The load report at this position; most records carry none."""
     if not value_count:
         return ()
     values: tuple[float, ...] = struct.unpack_from(f"<{value_count}f", fields, start)
@@ -234,7 +234,7 @@
 
 
 def _counted_bytes(fields: bytes, start: int, length: int) -> bytes:
-    """So many bytes at this position; ValueError where the record ends before them."""
+    """Bytes of this length at this position; ValueError where the record ends before them."""
     if len(fields) < start + length:
         raise ValueError("its content is cut short")
     return fields[start : start + length]
--- a/load_balancer/simulator/encoding.py
+++ b/load_balancer/simulator/encoding.py
@@ -22,7 +22,7 @@
 from load_balancer.simulator.codec import RECORD_HEADER, ActionCode
 
 MAX_TEXT_BYTES = 1000
-"""Longer texts are cut: a log line is read by people, and a very long one would crowd out the rest."""
+"""Longer texts are cut, as log lines are read by people."""
 
 _SUBSCRIBE = 1
 _TEXT = struct.Struct("<BIIH")
