--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.policy.environment import SimulatedHost, make_host
 from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT
+from tests.policy.simulated_host import SimulatedHost, make_host
 
 
 @pytest.fixture
--- /dev/null
+++ b/tests/policy/random_events.py
@@ -0,0 +1,70 @@
+"""A seeded stream of everything that may legally happen to a host."""
+
+from __future__ import annotations
+
+import random
+
+from load_balancer.events import (
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    HealthCheckEnded,
+    Outcome,
+    RequestAbandoned,
+)
+from tests.policy.simulated_host import SimulatedHost
+
+
+class RandomEvents:
+    """Draws events and hands them to a host, which checks every action."""
+
+    def __init__(self, host: SimulatedHost, seed: int) -> None:
+        self._host = host
+        self._random = random.Random(seed)
+
+    def run(self, steps: int) -> None:
+        """So many events, and then time to finish what is open."""
+        for _ in range(steps):
+            self._step()
+        for _ in range(2000):
+            self._host.advance(10.0)
+
+    def _step(self) -> None:
+        host, choose = self._host, self._random
+        kind = choose.random()
+        in_flight = host.all_in_flight()
+        if kind < 0.35:
+            class_index = choose.randrange(len(host.settings.classes))
+            host.arrive(class_index, choose.choice([None, 30.0, 400.0]))
+        elif kind < 0.65 and in_flight:
+            request, number = choose.choice(in_flight)
+            host.end_attempt(request, number, choose.choice([*Outcome, Outcome.OK, Outcome.OK]))
+        elif kind < 0.7:
+            self._update_endpoints()
+        elif kind < 0.73:
+            self._abandon(choose.randrange(1, host.next_request + 1))
+        elif kind < 0.76 and host.health_checks:
+            outcome = choose.choice(list(Outcome))
+            host.handle(HealthCheckEnded(host.health_checks.pop(), outcome, 5.0))
+        else:
+            host.advance(choose.choice([0.0, 5.0, 5.0, 10.0, 15.0]))
+
+    def _abandon(self, request: int) -> None:
+        tracked = self._host.requests.get(request)
+        if tracked is not None and tracked.answered_at is None:
+            tracked.answered_at = self._host.now
+        self._host.handle(RequestAbandoned(request))
+
+    def _update_endpoints(self) -> None:
+        choose = self._random
+        kind = choose.choice(list(EndpointListKind))
+        if kind is EndpointListKind.FAILED:
+            self._host.fail_poll()
+            return
+        rows = []
+        for i in range(12):
+            if choose.random() < 0.6:
+                started_ms = choose.choice([0.0, self._host.now - 200.0])
+                state = choose.choice(list(EndpointState))
+                rows.append(Endpoint(bytes([i]), state, 1.0 + i % 2, 0, i % 3, i // 4, started_ms))
+        self._host.update_endpoints(rows, kind)
--- a/tests/policy/environment.py
+++ b/tests/policy/simulated_host.py
@@ -1,21 +1,12 @@
 """A simulated host for the policy that checks the four rules on every action.
 
-It shares no code with the policy.  It is a crude environment, not a model of any service: tests choose when
-and how attempts end, also in odd orders, and each action that comes back is checked:
-
-1. every request gets one final answer, in time, and nothing is sent for it afterwards;
-2. what may have run is not run again unless that is harmless, and is not called rejected if it is not;
-3. nothing is sent to an endpoint that does not serve;
-4. limits of the settings (attempts, hedging, cancelling, health checks) are kept.
+It is a crude environment, not a model of any service: tests choose when and how attempts end, also in odd
+orders, and ``rule_checks`` checks each action that comes back.
 """
 
 from __future__ import annotations
 
-import gc
-import random
 from collections.abc import Iterable, Iterator
-from dataclasses import dataclass, field
-from types import FunctionType, ModuleType
 
 from load_balancer import Balancer
 from load_balancer.actions import (
@@ -36,50 +27,15 @@
     EndpointId,
     EndpointListKind,
     EndpointListUpdate,
-    EndpointState,
     Event,
-    HealthCheckEnded,
     Outcome,
-    RequestAbandoned,
     RequestArrived,
     TimerFired,
 )
-from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings
+from load_balancer.settings import RequestClass, Settings
+from tests.policy.rule_checks import RuleChecks
 from tests.policy.samples import IDEMPOTENT
-
-NOT_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-
-
-@dataclass
-class TrackedAttempt:
-    """An attempt as the host has seen it; times are in milliseconds."""
-
-    endpoint: Endpoint
-    sent_at: float
-    times_out_at: float
-    outcome: Outcome | None = None
-
-    def in_flight(self) -> bool:
-        """Whether it has not ended yet."""
-        return self.outcome is None
-
-
-@dataclass
-class TrackedRequest:
-    """A request as the host has seen it; times are in milliseconds."""
-
-    request_class: RequestClass
-    deadline: float
-    answered_at: float | None = None
-    attempts: list[TrackedAttempt] = field(default_factory=list)
-
-    def possibly_executed(self) -> list[TrackedAttempt]:
-        """The attempts that no outcome proves not to have run."""
-        return [a for a in self.attempts if a.outcome is None or a.outcome not in NOT_EXECUTED]
-
-    def endpoint_of(self, attempt_number: int) -> EndpointId:
-        """Where this attempt was sent."""
-        return self.attempts[attempt_number].endpoint.id
+from tests.policy.tracking import TrackedAttempt, TrackedRequest
 
 
 class SimulatedHost:
@@ -92,6 +48,8 @@
         health_checks: those asked for and not answered yet.
         polls: how often the endpoint list was polled.
         actions: all actions so far.
+        unfinished: the requests that have no final answer or an attempt in flight.
+        next_request: the number of the next request.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -104,9 +62,9 @@
         self.polls = 0
         self.actions: list[Action] = []
         self.unfinished: set[int] = set()
-        self._random = random.Random(seed)
+        self.next_request = 1
+        self._rules = RuleChecks(settings)
         self._timers: list[tuple[float, int]] = []
-        self._next_request = 1
 
     # ---------------------------------------------------------------- events
 
@@ -114,7 +72,7 @@
         """Give the balancer an event at the present time; returns its actions, checked."""
         actions = self.balancer.handle(event, self.now)
         for action in actions:
-            self._check(action)
+            self._carry_out(action)
         self.actions.extend(actions)
         return actions
 
@@ -122,8 +80,8 @@
         """A request of this class arrives, by default with its whole deadline left; returns its number."""
         request_class = self.settings.classes[class_index]
         budget_ms = request_class.deadline_ms if budget_ms is None else budget_ms
-        request = self._next_request
-        self._next_request += 1
+        request = self.next_request
+        self.next_request += 1
         self.requests[request] = TrackedRequest(request_class, self.now + budget_ms)
         self.unfinished.add(request)
         self.handle(RequestArrived(request, class_index, budget_ms))
@@ -172,8 +130,7 @@
                     self.end_attempt(request, number, Outcome.TIMEOUT)
         self.fire_due_timers()
         for tracked in self.requests.values():
-            latest = tracked.deadline + self.settings.response_slack_ms
-            assert tracked.answered_at is not None or self.now <= latest, "rule 1: no answer in time"
+            self._rules.check_in_time(tracked, self.now)
 
     def fire_due_timers(self) -> None:
         """Fire the balancer's own timers and nothing else."""
@@ -251,121 +208,32 @@
         """The fields of each log event of this name, in order."""
         return [dict(a.fields) for a in self.actions if isinstance(a, LogEvent) and a.name == name]
 
-    # ---------------------------------------------------------------- the rules
+    # ---------------------------------------------------------------- actions
 
-    def _check(self, action: Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
             case SendAttempt(request, endpoint, timeout_ms):
-                self._check_send(request, endpoint, timeout_ms)
+                self._send(request, endpoint, timeout_ms)
             case RejectRequest(request, _) | FailRequest(request):
-                self._check_final_answer(request, isinstance(action, RejectRequest))
+                tracked = self.requests[request]
+                self._rules.check_final_answer(tracked, isinstance(action, RejectRequest), self.now)
+                tracked.answered_at = self.now
             case SetTimer(token, at):
                 self._timers.append((at, token))
             case CancelAttempt(request, number):
-                assert self.settings.cancel_allowed and number < len(self.requests[request].attempts)
+                self._rules.check_cancel(self.requests[request], number)
             case CheckHealth(endpoint):
-                assert self.settings.health_checks_allowed and endpoint in self.endpoints
+                self._rules.check_health_check(endpoint, self.endpoints)
                 self.health_checks.append(endpoint)
             case PollEndpointList():
                 self.polls += 1
 
-    def _check_final_answer(self, request: int, rejected: bool) -> None:
-        tracked = self.requests[request]
-        assert tracked.answered_at is None, "rule 1: a second final answer"
-        latest = tracked.deadline + self.settings.response_slack_ms
-        assert self.now <= latest, "rule 1: answered too late"
-        tracked.answered_at = self.now
-        request_class = tracked.request_class
-        if (
-            rejected
-            and tracked.possibly_executed()
-            and request_class.idempotency is not Idempotency.IDEMPOTENT
-        ):
-            keyed = request_class.idempotency is Idempotency.KEYED
-            assert keyed, "rule 2: rejected a non-idempotent request that may have run"
-            scope = request_class.deduplication_scope
-            assert scope is DeduplicationScope.ALL, "rule 2: a rejection needs the scope of all servers"
-
-    def _check_send(self, request: int, endpoint_id: EndpointId, timeout_ms: float) -> None:
+    def _send(self, request: int, endpoint_id: EndpointId, timeout_ms: float) -> None:
         tracked = self.requests[request]
-        assert tracked.answered_at is None, "rule 1: sent for a finished request"
-        assert self.now < tracked.deadline and timeout_ms >= 0.0
-        assert len(tracked.attempts) < self.settings.max_attempts
-        endpoint = self.endpoints.get(endpoint_id)
-        assert endpoint is not None, "rule 3: sent to an unlisted endpoint"
-        assert endpoint.state is EndpointState.SERVING, "rule 3: sent to a draining endpoint"
-        self._check_repetition(tracked, endpoint)
+        endpoint = self._rules.check_send(tracked, self.endpoints.get(endpoint_id), timeout_ms, self.now)
         times_out_at = min(tracked.deadline, self.now + timeout_ms) if timeout_ms else tracked.deadline
         tracked.attempts.append(TrackedAttempt(endpoint, self.now, times_out_at))
 
-    def _check_repetition(self, tracked: TrackedRequest, endpoint: Endpoint) -> None:
-        others = tracked.possibly_executed()
-        if not others:
-            return
-        request_class = tracked.request_class
-        repeatable = request_class.idempotency is not Idempotency.NON_IDEMPOTENT
-        assert repeatable, "rule 2: a non-idempotent request sent twice"
-        if not self.settings.hedging_allowed:
-            assert not any(a.in_flight() for a in tracked.attempts), "rule 4: hedged without leave"
-        if request_class.idempotency is not Idempotency.KEYED:
-            return
-        for other in others:
-            age_ms = self.now - other.sent_at
-            assert age_ms < request_class.deduplication_window_ms, "rule 2: outside the window"
-            if request_class.deduplication_scope is DeduplicationScope.CELL:
-                assert endpoint.cell == other.endpoint.cell, "rule 2: another cell"
-            if request_class.deduplication_scope is DeduplicationScope.ZONE:
-                assert endpoint.zone == other.endpoint.zone, "rule 2: another zone"
-
-    # ---------------------------------------------------------------- random events
-
-    def run_random_events(self, steps: int) -> None:
-        """A seeded stream of everything that may legally happen, and then time to finish it all."""
-        for _ in range(steps):
-            self._random_event()
-        for _ in range(2000):
-            self.advance(10.0)
-
-    def _random_event(self) -> None:
-        choose = self._random
-        kind = choose.random()
-        in_flight = self.all_in_flight()
-        if kind < 0.35:
-            class_index = choose.randrange(len(self.settings.classes))
-            self.arrive(class_index, choose.choice([None, 30.0, 400.0]))
-        elif kind < 0.65 and in_flight:
-            request, number = choose.choice(in_flight)
-            self.end_attempt(request, number, choose.choice([*Outcome, Outcome.OK, Outcome.OK]))
-        elif kind < 0.7:
-            self._random_endpoint_list()
-        elif kind < 0.73:
-            self._abandon(choose.randrange(1, self._next_request + 1))
-        elif kind < 0.76 and self.health_checks:
-            outcome = choose.choice(list(Outcome))
-            self.handle(HealthCheckEnded(self.health_checks.pop(), outcome, 5.0))
-        else:
-            self.advance(choose.choice([0.0, 5.0, 5.0, 10.0, 15.0]))
-
-    def _abandon(self, request: int) -> None:
-        tracked = self.requests.get(request)
-        if tracked is not None and tracked.answered_at is None:
-            tracked.answered_at = self.now
-        self.handle(RequestAbandoned(request))
-
-    def _random_endpoint_list(self) -> None:
-        choose = self._random
-        kind = choose.choice(list(EndpointListKind))
-        if kind is EndpointListKind.FAILED:
-            self.fail_poll()
-            return
-        rows = []
-        for i in range(12):
-            if choose.random() < 0.6:
-                started_ms = choose.choice([0.0, self.now - 200.0])
-                state = choose.choice(list(EndpointState))
-                rows.append(Endpoint(bytes([i]), state, 1.0 + i % 2, 0, i % 3, i // 4, started_ms))
-        self.update_endpoints(rows, kind)
-
 
 def make_host(
     *classes: RequestClass, endpoint_count: int = 6, seed: int = 9, **settings: object
@@ -375,19 +243,3 @@
     host = SimulatedHost(Settings(classes=classes or (IDEMPOTENT,), **values), seed)  # type: ignore[arg-type]
     host.update_endpoints(Endpoint(bytes([i]), zone=i % 3) for i in range(endpoint_count))
     return host
-
-
-def endpoints_in_memory(balancer: Balancer) -> set[EndpointId]:
-    """The ids of all endpoints that the balancer's memory still holds, wherever it keeps them."""
-    seen: set[int] = set()
-    found: set[EndpointId] = set()
-    pending: list[object] = [balancer]
-    while pending:
-        item = pending.pop()
-        if id(item) in seen or isinstance(item, type | ModuleType | FunctionType):
-            continue
-        seen.add(id(item))
-        if isinstance(item, Endpoint):
-            found.add(item.id)
-        pending.extend(gc.get_referents(item))
-    return found
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -16,8 +16,8 @@
     RequestArrived,
 )
 from load_balancer.settings import RequestClass, Settings, Tenant
-from tests.policy.environment import SimulatedHost, make_host
 from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT
+from tests.policy.simulated_host import SimulatedHost, make_host
 
 SLOW_CLASS = RequestClass("r", 1500, 4000)
 SLOWEST_CLASS = RequestClass("r", 4500, 9000)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -16,8 +16,9 @@
     UnexpectedEventError,
 )
 from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings, SettingsError
-from tests.policy.environment import SimulatedHost, make_host
+from tests.policy.random_events import RandomEvents
 from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT, endpoints_in_cells, keyed
+from tests.policy.simulated_host import SimulatedHost, make_host
 
 CLASSES = (
     IDEMPOTENT,
@@ -45,7 +46,7 @@
     )
     host = SimulatedHost(settings, seed)
     host.update_endpoints(endpoints_in_cells(8), EndpointListKind.CACHED)
-    host.run_random_events(1500)
+    RandomEvents(host, seed).run(1500)
     assert sum(isinstance(a, SendAttempt) for a in host.actions) > 100
     assert all(request.answered_at is not None for request in host.requests.values())
 
@@ -55,7 +56,7 @@
     for _ in range(2):
         host = make_host(endpoint_count=0, seed=3, health_checks_allowed=True)
         host.update_endpoints(endpoints_in_cells(6))
-        host.run_random_events(400)
+        RandomEvents(host, 3).run(400)
         streams.append(host.actions)
     assert streams[0] == streams[1]
 
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -6,8 +6,9 @@
 
 from load_balancer.actions import CheckHealth, CloseIdleConnections
 from load_balancer.events import Endpoint, HealthCheckEnded, Outcome
-from tests.policy.environment import SimulatedHost, endpoints_in_memory, make_host
+from tests.policy.memory import endpoints_in_memory
 from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT
+from tests.policy.simulated_host import SimulatedHost, make_host
 
 FAULTY = bytes([2])
 SAFE_CLASS, UNSAFE_CLASS = 0, 1
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -10,8 +10,8 @@
 from load_balancer.events import Endpoint, EndpointListKind, EndpointState, Outcome
 from load_balancer.policy.selection import may_send
 from load_balancer.settings import DeduplicationScope, RequestClass
-from tests.policy.environment import SimulatedHost, make_host
 from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT, endpoints_in_cells, keyed
+from tests.policy.simulated_host import SimulatedHost, make_host
 
 
 def host_in_cells(request_class: RequestClass, count: int, **settings: object) -> SimulatedHost:
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -20,8 +20,8 @@
 )
 from load_balancer.policy.automaton import Automaton
 from load_balancer.settings import Settings
-from tests.policy.environment import SimulatedHost, make_host
 from tests.policy.samples import IDEMPOTENT
+from tests.policy.simulated_host import SimulatedHost, make_host
 
 SUBSET_LEAST, SUBSET_MOST = 6, 12
 ENDPOINTS = 60
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -25,8 +25,8 @@
     TimerFired,
 )
 from load_balancer.settings import Settings
-from tests.policy.environment import SimulatedHost, make_host
 from tests.policy.samples import IDEMPOTENT
+from tests.policy.simulated_host import SimulatedHost, make_host
 
 # ---------------------------------------------------------------- one node
 
