--- /dev/null
+++ b/tests/policy/test_circuit_breakers.py
@@ -0,0 +1,102 @@
+"""Circuit breakers: an endpoint that fails one class of requests."""
+
+from __future__ import annotations
+
+from load_balancer.events import Outcome
+from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT
+from tests.policy.simulated_host import SimulatedHost, make_host
+
+FAULTY = bytes([2])
+SAFE_CLASS, UNSAFE_CLASS = 0, 1
+
+
+def serve_class(host: SimulatedHost, class_index: int, outcome: Outcome, endpoint: bytes = FAULTY) -> bool:
+    """A request of this class, which ends like this if it meets the endpoint; returns whether it did."""
+    request = host.arrive(class_index)
+    host.advance(20)
+    met = host.requests[request].endpoint_of(0) == endpoint
+    host.end_attempt(request, 0, outcome if met else Outcome.OK)
+    return met
+
+
+def serve_class_until(host: SimulatedHost, outcome: Outcome, endpoint: bytes = FAULTY) -> None:
+    """Non-idempotent requests until one at this endpoint has ended like this."""
+    while not serve_class(host, UNSAFE_CLASS, outcome, endpoint):
+        pass
+
+
+def open_circuit_breaker(host: SimulatedHost) -> None:
+    """The faulty endpoint fails non-idempotent requests until its circuit breaker opens."""
+    while not host.log_fields("circuit_breaker_opened"):
+        serve_class_until(host, Outcome.ERROR)
+
+
+def test_an_endpoint_that_fails_one_class_serves_the_others(two_class_host: SimulatedHost) -> None:
+    """A good trial with another class says nothing: two requests were once lost for each of its returns."""
+    host = two_class_host
+    for _ in range(200):
+        serve_class(host, SAFE_CLASS, Outcome.OK)
+        serve_class(host, UNSAFE_CLASS, Outcome.ERROR)
+    assert not host.log_fields("endpoint_ejected"), "the whole endpoint was held to account"
+    assert any(
+        line.startswith("circuit_breaker_opened endpoint=02 class=w pause_ms=") for line in host.log_lines()
+    )
+    lost = [
+        request
+        for request in host.requests.values()
+        if request.request_class is NON_IDEMPOTENT and request.attempts[-1].outcome is Outcome.ERROR
+    ]
+    # In 8 s there are two or three trials; an endpoint that is drawn for it would lose dozens.
+    assert len(lost) <= 2 + 3
+    mark = len(host.actions)
+    for _ in range(60):
+        serve_class(host, SAFE_CLASS, Outcome.OK)
+    assert FAULTY in host.endpoints_sent_to(mark), "what it does well went elsewhere, too"
+
+
+def test_a_circuit_breaker_closes_after_good_trials(two_class_host: SimulatedHost) -> None:
+    host = two_class_host
+    host.serve(30)
+    open_circuit_breaker(host)
+    host.advance(6000)
+    for _ in range(100):
+        serve_class(host, UNSAFE_CLASS, Outcome.OK)
+    requests = [host.arrive(UNSAFE_CLASS) for _ in range(18)]
+    endpoints = [host.requests[r].endpoint_of(0) for r in requests]
+    assert endpoints.count(FAULTY) >= 2  # no longer one at a time
+    host.end_all(requests)
+    serve_class_until(host, Outcome.ERROR)
+    (opened,) = host.log_fields("circuit_breaker_opened")  # one error more does not open it
+    assert opened["endpoint"] == FAULTY and opened["class"] == "w"
+
+
+def test_errors_from_further_in_that_meet_all_endpoints_open_no_circuit_breaker() -> None:
+    """A tier further in fails one request in twelve; two in a row at one endpoint say nothing of it."""
+    host = make_host(IDEMPOTENT, NON_IDEMPOTENT, endpoint_count=4, tier_count=2)
+    endpoint = bytes([0])
+    for number in range(240):
+        host.end_all([host.arrive(SAFE_CLASS)])
+        request = host.arrive(UNSAFE_CLASS)
+        host.advance(20)
+        host.end_attempt(request, 0, Outcome.OK if number % 12 else Outcome.ERROR)
+    for _ in range(6):
+        serve_class_until(host, Outcome.OK, endpoint)
+    for _ in range(2):
+        serve_class_until(host, Outcome.ERROR, endpoint)
+    assert host.log_lines() == []
+    assert any(serve_class(host, UNSAFE_CLASS, Outcome.OK, endpoint) for _ in range(30))
+    assert not host.log_fields("circuit_breaker_opened")
+
+
+def test_one_error_after_a_good_trial_does_not_open_the_circuit_breaker_again() -> None:
+    """What was held against the endpoint before was once kept, so that the next error of any tier did."""
+    host = make_host(IDEMPOTENT, NON_IDEMPOTENT, warm_up_ms=1000.0)
+    host.serve(60)
+    open_circuit_breaker(host)
+    host.advance(6000)
+    serve_class_until(host, Outcome.OK)
+    serve_class_until(host, Outcome.ERROR)
+    failed_at = host.now
+    serve_class_until(host, Outcome.OK)
+    assert host.now - failed_at < 1500.0  # open for a non-idempotent class it stays so for 3 s at the least
+    assert len(host.log_fields("circuit_breaker_opened")) == 1
--- /dev/null
+++ b/tests/policy/test_congestion.py
@@ -0,0 +1,112 @@
+"""The congestion signal and its baseline latency, by the load shedding that they start and stop."""
+
+from __future__ import annotations
+
+import pytest
+
+from load_balancer.actions import RejectRequest
+from load_balancer.events import (
+    Outcome,
+)
+from tests.policy.simulated_host import make_host
+from tests.policy.traffic import (
+    SLOW_CLASS,
+    shedding_events,
+)
+
+# ---------------------------------------------------------------- congestion
+
+
+def test_rising_latency_starts_load_shedding_and_the_baseline_stops_it() -> None:
+    host = make_host(endpoint_count=4)
+    host.serve(100, latency_ms=20.0)
+    assert host.log_lines() == []
+    host.serve(60, latency_ms=200.0)
+    assert "load_shedding_started" in shedding_events(host)
+    host.serve(200, latency_ms=20.0)
+    assert shedding_events(host)[-1] == "load_shedding_stopped"
+
+
+def test_few_responses_signal_congestion_sooner_than_many() -> None:
+    """By the time five responses told of twice the baseline, the servers were overloaded."""
+    events = []
+    for pause_ms in (5.0, 2000.0):
+        host = make_host()
+        for latency_ms in [20.0] * 60 + [32.0] * 60:
+            request = host.arrive()
+            host.advance(latency_ms)
+            host.end_attempt(request, 0, Outcome.OK)
+            host.advance(pause_ms)
+        events.append(shedding_events(host))
+    assert events == [[], ["load_shedding_started"]]
+
+
+@pytest.mark.parametrize(("rejecting", "sheds"), [(1, False), (2, True)])
+def test_rejections_signal_congestion_only_if_more_than_a_third_of_the_endpoints_reject(
+    rejecting: int, sheds: bool
+) -> None:
+    """Latencies stay just inside their target, so that a single rejection counted starts load shedding.
+
+    Servers that drained one after another once had the limit cut and half of all requests rejected.
+    """
+    host = make_host(endpoint_count=5)
+    host.serve(18, latency_ms=380.0)
+    assert host.log_lines() == []
+    rejected: set[bytes] = set()
+    for _ in range(12):
+        request = host.arrive()
+        host.now += 5.0
+        for number in host.in_flight(request):
+            endpoint = host.requests[request].endpoint_of(number)
+            if endpoint in rejected or len(rejected) < rejecting:
+                rejected.add(endpoint)
+                host.end_attempt(request, number, Outcome.REJECTED)
+        host.end_all([request], Outcome.CLIENT_ERROR)
+    host.advance(400.0)
+    for request in [host.arrive() for _ in range(8)]:
+        for number in host.in_flight(request):
+            if host.requests[request].endpoint_of(number) in rejected:
+                host.end_attempt(request, number, Outcome.REJECTED)
+    assert len(rejected) == rejecting
+    assert bool(host.log_fields("load_shedding_started")) is sheds
+
+
+def test_a_fleet_that_rejects_everything_is_congested() -> None:
+    host = make_host(endpoint_count=5)
+    host.serve(60)
+    for _ in range(40):
+        request = host.arrive()
+        host.advance(10)
+        for number in host.in_flight(request):
+            host.end_attempt(request, number, Outcome.REJECTED)
+    assert shedding_events(host)[-1] == "load_shedding_started"
+
+
+# ---------------------------------------------------------------- the baseline
+
+
+def test_the_quick_responses_of_the_first_moments_are_no_baseline() -> None:
+    """Requests sent together come back quick ones first; a third of a day was once shed for that."""
+    host = make_host(endpoint_count=30)
+    requests = [host.arrive() for _ in range(150)]
+    sent = [r for r in requests if host.requests[r].attempts]
+    for request in sent[:60]:  # the quick ones
+        host.advance(1)
+        host.end_attempt(request, 0, Outcome.OK)
+    for _ in range(10):
+        host.advance(20)
+    for request in list(host.requests):
+        for number in host.in_flight(request):
+            host.end_attempt(request, number, Outcome.OK)
+    mark = len(host.actions)
+    host.serve(150, latency_ms=150.0)
+    assert not any(isinstance(a, RejectRequest) for a in host.actions[mark:])
+    assert not host.log_fields("load_shedding_started")
+
+
+def test_the_responses_of_an_empty_fleet_are_no_baseline() -> None:
+    """Twice the latency of a node's first few responses was the usual mean."""
+    host = make_host(SLOW_CLASS)
+    host.serve(12, latency_ms=50.0)
+    host.serve(60, latency_ms=150.0)
+    assert not host.log_fields("load_shedding_started")
