--- a/tests/policy/fleet.py
+++ b/tests/policy/fleet.py
@@ -44,11 +44,11 @@
     endpoint: EndpointId
     units: float
     notified: bool
-    """Whether the node knew of the server's start."""
+    """Whether the node was notified of the server's start."""
 
 
 class Fleet:
-    """Nodes that share servers with a queue each; when some are replaced, more requests begin to come in.
+    """Nodes that share servers, each with a queue; when some are replaced, the arrivals rise by half.
 
     No node sees what the others send.  With ``new_nodes`` the nodes, too, are new processes from then on.
     """
@@ -100,7 +100,7 @@
             self._now = at
             if event is None:
                 self._arrive()
-            elif balancer is self._balancers[node]:  # else for the process before
+            elif balancer is self._balancers[node]:  # otherwise the event is for a replaced node
                 self._handle(node, event)
 
     def _schedule(self, at: float, node: int, event: Event | None) -> None:
@@ -118,7 +118,7 @@
             self._schedule(notified_at, node, EndpointListUpdate(EndpointListKind.DELTA, started))
 
     def _arrive(self) -> None:
-        """A request of some work at some node; from the replacement on half as many again."""
+        """A request of random work arrives at a random node; after the replacement the rate is 1.5 times."""
         per_ms = 0.9 * WARM_UNITS_PER_S * len(self._endpoints) / 1000.0
         per_ms *= 1.5 if self._now >= REPLACED_AT else 1.0
         self._schedule(self._now + self._random.expovariate(per_ms), -1, None)
@@ -157,7 +157,7 @@
         self._schedule(self._now + took_ms, node, ended)
 
     def _queue(self, endpoint: EndpointId, units: float) -> float:
-        """The time until the server has done this work, after what it got before."""
+        """The time until the server has done this work, after the work that was queued before."""
         capacity = self._capacity(self._now) if endpoint in self._replaced else 1.0
         done = max(self._busy_until[endpoint], self._now) + units / (WARM_UNITS_PER_S * capacity / 1000.0)
         self._busy_until[endpoint] = done
@@ -172,9 +172,9 @@
         return min(1.0, initial + (1.0 - initial) * (now - REPLACED_AT) / FLEET_SETTINGS.warm_up_ms)
 
     def worst_overload(self) -> float:
-        """The most that a replaced server got in a window, against its budget and what chance may add.
+        """The highest work of a replaced server in a window, as a part of its budget and a margin for chance.
 
-        Windows count where more than two thirds of the work came from nodes that knew of the start.
+        Windows count where more than two thirds of the work came from nodes that were notified of the start.
         """
         worst = 0.0
         for endpoint in self._replaced:
@@ -198,6 +198,6 @@
         return units / (budget + 2.0 * math.sqrt(budget) + 2.0)
 
     def work_sent_after_replacement(self) -> float:
-        """The units that replaced servers got in the last second, as a part of what they could do."""
+        """The work of replaced servers in the last second, as a part of their capacity."""
         units = sum(sent.units for sent in self.sent if sent.at >= END_AT - 1000.0)
         return units / (WARM_UNITS_PER_S * len(self._replaced) * self._capacity(END_AT - 500.0))
--- a/tests/policy/simulated_host.py
+++ b/tests/policy/simulated_host.py
@@ -69,7 +69,7 @@
     # ---------------------------------------------------------------- events
 
     def handle(self, event: Event) -> list[Action]:
-        """Give the balancer an event at the present time; returns its actions, checked."""
+        """Hand the balancer an event at the present time; returns its checked actions."""
         actions = self.balancer.handle(event, self.now)
         for action in actions:
             self._carry_out(action)
@@ -77,7 +77,7 @@
         return actions
 
     def arrive(self, class_index: int = 0, budget_ms: float | None = None) -> int:
-        """A request of this class arrives, by default with its whole deadline left; returns its number."""
+        """Let a request of this class arrive, by default with its full deadline; returns its number."""
         request_class = self.settings.classes[class_index]
         budget_ms = request_class.deadline_ms if budget_ms is None else budget_ms
         request = self.next_request
@@ -88,7 +88,7 @@
         return request
 
     def end_attempt(self, request: int, number: int, outcome: Outcome) -> None:
-        """An attempt ends like this at the present time; a good response answers its request."""
+        """End an attempt with this outcome at the present time; a success answers its request."""
         tracked = self.requests[request]
         attempt = tracked.attempts[number]
         attempt.outcome = outcome
@@ -99,7 +99,7 @@
         self.handle(AttemptEnded(request, number, attempt.endpoint.id, outcome, elapsed_ms, finished))
 
     def end_all(self, requests: Iterable[int], outcome: Outcome = Outcome.OK) -> None:
-        """End what is in flight of these requests at this moment, but not what is sent because of it."""
+        """End the present attempts of these requests, but not those that are sent because of it."""
         for request in requests:
             for number in list(self.in_flight(request)):
                 self.end_attempt(request, number, outcome)
@@ -107,7 +107,7 @@
     def update_endpoints(
         self, endpoints: Iterable[Endpoint], kind: EndpointListKind = EndpointListKind.FULL
     ) -> None:
-        """The balancer gets an endpoint list or a change of it."""
+        """Hand the balancer an endpoint list or a change of it."""
         rows = tuple(endpoints)
         if kind is not EndpointListKind.DELTA:
             self.endpoints = {}
@@ -115,7 +115,7 @@
         self.handle(EndpointListUpdate(kind, rows))
 
     def fail_poll(self) -> None:
-        """A poll of the endpoint list fails."""
+        """Let a poll of the endpoint list fail."""
         self.handle(EndpointListUpdate(EndpointListKind.FAILED))
 
     # ---------------------------------------------------------------- time
@@ -152,7 +152,7 @@
         failing: EndpointId = b"",
         outcome: Outcome = Outcome.ERROR,
     ) -> None:
-        """Requests one after another; attempts at the failing endpoint end with the outcome."""
+        """Serve requests one after another; attempts at the failing endpoint end with the outcome."""
         for _ in range(count):
             request = self.arrive()
             self.advance(latency_ms)
@@ -161,7 +161,7 @@
                 self.end_attempt(request, number, outcome if fails else Outcome.OK)
 
     def serve_evenly(self, seconds: float, per_s: int) -> list[EndpointId]:
-        """An even stream of requests that are answered at once; returns the endpoints that got them."""
+        """Serve an even stream of requests, each answered at once; returns their endpoints."""
         endpoints = []
         for _ in range(int(seconds * per_s)):
             self.advance(1000.0 / per_s)
@@ -172,7 +172,7 @@
         return endpoints
 
     def settle(self) -> None:
-        """Answer what is in flight, and what is sent as that makes room, until nothing is."""
+        """Answer all attempts, also those that are sent as capacity becomes free, until none is in flight."""
         while attempts := self.all_in_flight():
             self.end_attempt(*attempts[0], Outcome.OK)
 
@@ -180,11 +180,11 @@
 
     @property
     def pending_wake_ups(self) -> int:
-        """How many timers the balancer has asked for that have not fired."""
+        """The number of timers that the balancer has requested and that have not fired."""
         return len(self._timers)
 
     def in_flight(self, request: int) -> Iterator[int]:
-        """The attempts of a request in flight; one that is sent during the iteration comes up too."""
+        """The attempts of a request in flight, including one that is sent during the iteration."""
         attempts = self.requests[request].attempts
         return (number for number, attempt in enumerate(attempts) if attempt.in_flight())
 
@@ -193,11 +193,11 @@
         return [(r, number) for r in sorted(self.unfinished) for number in self.in_flight(r)]
 
     def count_in_flight(self, requests: Iterable[int]) -> int:
-        """How many attempts of these requests are in flight."""
+        """The number of attempts of these requests that are in flight."""
         return sum(1 for request in requests for _ in self.in_flight(request))
 
     def endpoints_sent_to(self, since: int = 0) -> list[EndpointId]:
-        """Where attempts went, from this position of the actions on."""
+        """The endpoints that attempts were sent to, from this position of the actions on."""
         return [a.endpoint_id for a in self.actions[since:] if isinstance(a, SendAttempt)]
 
     def log_lines(self) -> list[str]:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -40,7 +40,7 @@
 
 
 def test_a_queued_request_is_rejected_after_a_twentieth_of_its_latency_objective() -> None:
-    """With six in ten servers replaced, what had waited a tenth went too late, before what had not."""
+    """Requests that have queued for longer would be sent before newer ones and be answered too late."""
     host = make_host(endpoint_count=4)
     requests = [host.arrive() for _ in range(100)]
     for _ in range(4):
--- a/tests/policy/test_automaton.py
+++ b/tests/policy/test_automaton.py
@@ -11,9 +11,9 @@
 from load_balancer.policy.automaton import Automaton
 
 FLOOR = 0.4
-"""The least probability of an endpoint, as a part of the mean one."""
+"""The lowest probability of an endpoint, as a part of the mean one."""
 AVERAGE_STEP = 0.15
-"""The step of the latency averages of a node that stands for itself."""
+"""The smoothing factor of the latency averages of a single node."""
 
 NAMES = [bytes([i]) for i in range(40)]
 
@@ -46,7 +46,7 @@
 def test_the_step_of_the_vector_grows_with_the_nodes_and_stays_well_below_that_of_the_averages(
     nodes: int, endpoints: int
 ) -> None:
-    """With a step for one node's traffic, two hundred nodes drew evenly all day."""
+    """With the rate of a single node each of two hundred would learn nothing in a day."""
     automaton = Automaton(nodes)
     automaton.resize(dict.fromkeys(NAMES[:endpoints], 1.0))
     assert automaton.theta <= automaton.alpha / 10 and AVERAGE_STEP <= automaton.alpha <= 0.5
@@ -59,7 +59,7 @@
 
 
 def test_a_payoff_raises_all_endpoints_of_the_machine_type() -> None:
-    """With many nodes no endpoint gets requests enough to be told from another, but machine types do."""
+    """With many nodes each sends an endpoint too few requests to learn, but not a machine type."""
     automaton = Automaton(node_count=30)
     automaton.resize(dict.fromkeys(NAMES[:6], 1.0), {name: i // 3 for i, name in enumerate(NAMES[:6])})
     automaton.learn(NAMES[5], 100.0)
--- a/tests/policy/test_circuit_breakers.py
+++ b/tests/policy/test_circuit_breakers.py
@@ -7,11 +7,11 @@
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 FAULTY = bytes([2])
-SAFE_CLASS, UNSAFE_CLASS = 0, 1
+IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS = 0, 1
 
 
 def serve_class(host: SimulatedHost, class_index: int, outcome: Outcome, endpoint: bytes = FAULTY) -> bool:
-    """A request of this class, which ends like this if it meets the endpoint; returns whether it did."""
+    """Serve a request, with this outcome if it is sent to the endpoint; returns whether it was."""
     request = host.arrive(class_index)
     host.advance(20)
     met = host.requests[request].endpoint_of(0) == endpoint
@@ -20,24 +20,24 @@
 
 
 def serve_class_until(host: SimulatedHost, outcome: Outcome, endpoint: bytes = FAULTY) -> None:
-    """Non-idempotent requests until one at this endpoint has ended like this."""
-    while not serve_class(host, UNSAFE_CLASS, outcome, endpoint):
+    """Serve non-idempotent requests until one at this endpoint has had this outcome."""
+    while not serve_class(host, NON_IDEMPOTENT_CLASS, outcome, endpoint):
         pass
 
 
 def open_circuit_breaker(host: SimulatedHost) -> None:
-    """The faulty endpoint fails non-idempotent requests until its circuit breaker opens."""
+    """Fail non-idempotent requests at the faulty endpoint until its circuit breaker opens."""
     while not host.log_fields("circuit_breaker_opened"):
         serve_class_until(host, Outcome.ERROR)
 
 
 def test_an_endpoint_that_fails_one_class_serves_the_others(two_class_host: SimulatedHost) -> None:
-    """A good trial with another class says nothing: two requests were once lost for each of its returns."""
+    """A successful trial with another class must not readmit the class that fails."""
     host = two_class_host
     for _ in range(200):
-        serve_class(host, SAFE_CLASS, Outcome.OK)
-        serve_class(host, UNSAFE_CLASS, Outcome.ERROR)
-    assert not host.log_fields("endpoint_ejected"), "the whole endpoint was held to account"
+        serve_class(host, IDEMPOTENT_CLASS, Outcome.OK)
+        serve_class(host, NON_IDEMPOTENT_CLASS, Outcome.ERROR)
+    assert not host.log_fields("endpoint_ejected"), "the endpoint was ejected as a whole"
     assert any(
         line.startswith("circuit_breaker_opened endpoint=02 class=w pause_ms=") for line in host.log_lines()
     )
@@ -46,12 +46,12 @@
         for request in host.requests.values()
         if request.request_class is NON_IDEMPOTENT and request.attempts[-1].outcome is Outcome.ERROR
     ]
-    # In 8 s there are two or three trials; an endpoint that is drawn for it would lose dozens.
+    # In 8 s there are two or three trials; without a circuit breaker dozens would be lost.
     assert len(lost) <= 2 + 3
     mark = len(host.actions)
     for _ in range(60):
-        serve_class(host, SAFE_CLASS, Outcome.OK)
-    assert FAULTY in host.endpoints_sent_to(mark), "what it does well went elsewhere, too"
+        serve_class(host, IDEMPOTENT_CLASS, Outcome.OK)
+    assert FAULTY in host.endpoints_sent_to(mark), "the class that it serves well went elsewhere"
 
 
 def test_a_circuit_breaker_closes_after_good_trials(two_class_host: SimulatedHost) -> None:
@@ -60,8 +60,8 @@
     open_circuit_breaker(host)
     host.advance(6000)
     for _ in range(100):
-        serve_class(host, UNSAFE_CLASS, Outcome.OK)
-    requests = [host.arrive(UNSAFE_CLASS) for _ in range(18)]
+        serve_class(host, NON_IDEMPOTENT_CLASS, Outcome.OK)
+    requests = [host.arrive(NON_IDEMPOTENT_CLASS) for _ in range(18)]
     endpoints = [host.requests[r].endpoint_of(0) for r in requests]
     assert endpoints.count(FAULTY) >= 2  # no longer one at a time
     host.end_all(requests)
@@ -71,12 +71,12 @@
 
 
 def test_errors_from_further_in_that_meet_all_endpoints_open_no_circuit_breaker() -> None:
-    """A tier further in fails one request in twelve; two in a row at one endpoint say nothing of it."""
+    """An inner tier fails one request in twelve, so that two errors in a row at an endpoint may be chance."""
     host = make_host(IDEMPOTENT, NON_IDEMPOTENT, endpoint_count=4, tier_count=2)
     endpoint = bytes([0])
     for number in range(240):
-        host.end_all([host.arrive(SAFE_CLASS)])
-        request = host.arrive(UNSAFE_CLASS)
+        host.end_all([host.arrive(IDEMPOTENT_CLASS)])
+        request = host.arrive(NON_IDEMPOTENT_CLASS)
         host.advance(20)
         host.end_attempt(request, 0, Outcome.OK if number % 12 else Outcome.ERROR)
     for _ in range(6):
@@ -84,12 +84,12 @@
     for _ in range(2):
         serve_class_until(host, Outcome.ERROR, endpoint)
     assert host.log_lines() == []
-    assert any(serve_class(host, UNSAFE_CLASS, Outcome.OK, endpoint) for _ in range(30))
+    assert any(serve_class(host, NON_IDEMPOTENT_CLASS, Outcome.OK, endpoint) for _ in range(30))
     assert not host.log_fields("circuit_breaker_opened")
 
 
 def test_one_error_after_a_good_trial_does_not_open_the_circuit_breaker_again() -> None:
-    """What was held against the endpoint before was once kept, so that the next error of any tier did."""
+    """The failure rate from before the trial must not count: the next error may come from an inner tier."""
     host = make_host(IDEMPOTENT, NON_IDEMPOTENT, warm_up_ms=1000.0)
     host.serve(60)
     open_circuit_breaker(host)
@@ -98,5 +98,5 @@
     serve_class_until(host, Outcome.ERROR)
     failed_at = host.now
     serve_class_until(host, Outcome.OK)
-    assert host.now - failed_at < 1500.0  # open for a non-idempotent class it stays so for 3 s at the least
+    assert host.now - failed_at < 1500.0  # an opened breaker of this class stays open for 3 s or more
     assert len(host.log_fields("circuit_breaker_opened")) == 1
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -40,19 +40,19 @@
 
 
 def test_the_limit_grows_no_further_than_the_best_rate_needs() -> None:
-    """The limit once doubled past what the servers bore before the first slow responses came back."""
+    """The limit must not double past what the servers sustain before the first slow responses arrive."""
     host = make_host(endpoint_count=4)
     host.serve(100, latency_ms=20.0)
     rate, baseline_ms = 1 / 20.0, 20.0
-    for _ in range(400):  # ever more arrivals, answered at the same rate all the while
+    for _ in range(400):  # ever more arrivals, answered at an unchanged rate
         host.arrive()
         host.arrive()
         in_flight = [(r, n) for r in host.requests for n in host.in_flight(r)]
         host.advance(20)
         if in_flight:
-            host.end_attempt(*in_flight[-1], Outcome.OK)  # quick, while older ones hang
-    enough = max(1.65 * rate * baseline_ms, START_LIMIT * 4)
-    assert host.count_in_flight(host.requests) <= enough + enough**0.5
+            host.end_attempt(*in_flight[-1], Outcome.OK)  # quickly, while older ones get no response
+    needed = max(1.65 * rate * baseline_ms, START_LIMIT * 4)
+    assert host.count_in_flight(host.requests) <= needed + needed**0.5
 
 
 def test_the_limit_stays_near_what_the_best_rate_needs_where_much_is_in_work() -> None:
@@ -67,12 +67,12 @@
         end_older_than(host, 1000.0, Outcome.OK, most=1)
         for _ in range(4):
             host.arrive()
-    enough = 1.65 * 100
-    assert 1.5 * 100 <= host.count_in_flight(host.unfinished) <= enough + enough**0.5
+    needed = 1.65 * 100
+    assert 1.5 * 100 <= host.count_in_flight(host.unfinished) <= needed + needed**0.5
 
 
-def test_the_best_rate_of_few_responses_is_not_taken_at_its_word() -> None:
-    """The luckiest of many short counts, twice the true rate, once held the limit up."""
+def test_the_best_rate_of_few_responses_is_lowered_by_its_uncertainty() -> None:
+    """The highest of many short counts is twice the true rate, and must not hold the limit up."""
     host = make_host(node_count=100, max_attempts=1)
     host.serve(60, latency_ms=200.0)  # five responses a second: one attempt in flight at a time
     while not host.log_fields("load_shedding_started"):  # the limit falls to what the best rate needs
@@ -87,10 +87,10 @@
 
 
 def test_a_limit_below_one_admits_that_fraction_of_the_requests() -> None:
-    """Limits of one request a node, over four hundred nodes, were far too many."""
-    host = make_host(node_count=20)  # the least is a request for each of six servers, over twenty nodes: 0.3
+    """Over hundreds of nodes, limits of one request each would add up to far too many."""
+    host = make_host(node_count=20)  # the lowest limit is that of six servers over twenty nodes: 0.3
     host.serve(60)
-    host.serve(60, latency_ms=1000.0)  # far past the target: the limit falls to its least
+    host.serve(60, latency_ms=1000.0)  # far past the target, so that the limit falls to its lowest value
     sent = 0
     for _ in range(400):
         request = host.arrive()
@@ -104,7 +104,7 @@
 
 
 def test_the_limit_falls_within_a_few_latency_objectives_of_a_standstill() -> None:
-    """With all attempts overdue a tenth was once cut every five seconds, too slow to drain the queues."""
+    """With all attempts overdue a tenth less in every mean latency would not drain the queues."""
     host = make_host(node_count=600)
     host.serve(12, latency_ms=50.0)
     burst = [host.arrive() for _ in range(12)]
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("latency_ms", [200.0, 1000.0])
 def test_the_limit_leaves_each_endpoint_a_request_for_every_tier_to_come(latency_ms: float) -> None:
-    """With a lucky start as baseline and one request a server, a front once shed 40% of a day."""
+    """The first responses may set too low a baseline, which must not shed load all day."""
     host = make_host(SLOW_CLASS, endpoint_count=4, tier_count=3, tier_index=0)
     host.serve(60, latency_ms=50.0)  # the baseline
     host.serve(60, latency_ms=latency_ms)  # congested against it, though inside the objective
@@ -133,7 +133,7 @@
 
 
 def test_a_burst_far_inside_the_latency_objective_is_not_rejected() -> None:
-    """A limit by the baseline once held the responses to half their rate and rejected the other half."""
+    """A limit by the baseline alone would halve the rate of responses and reject the other half."""
     host = make_host(SLOW_CLASS, endpoint_count=4, tier_count=3, tier_index=0)
     for latency_ms in [60.0] * 300 + [300.0] * 500:  # one every 20 ms
         host.arrive()
@@ -152,8 +152,7 @@
 def test_the_limit_follows_the_endpoints_that_are_listed() -> None:
     """The limit learned from many endpoints must not flood the few that stay.
 
-    With six in ten replaced it once let 13 requests out to each of the rest, which had turned slow for good
-    by the time that latencies showed it.
+    Latencies show that only when the remaining servers are overloaded.
     """
     host = make_host(endpoint_count=8, seed=4, warm_up_ms=20_000.0)
     host.serve_evenly(4.0, 160)
@@ -167,7 +166,7 @@
 
 
 def test_the_limit_does_not_count_ejected_endpoints() -> None:
-    """When a zone is lost, the list goes on naming what has vanished, and the limit once counted it."""
+    """When a zone is lost, the endpoint list names its servers for a while longer."""
     host = make_host(endpoint_count=8, seed=4, warm_up_ms=20_000.0, health_checks_allowed=True)
     host.serve_evenly(4.0, 160)
     vanished = set(endpoint_names(2))
@@ -181,14 +180,14 @@
     assert shedding_events(host) == ["endpoint_ejected"] * 2
     host.settle()
     requests = [host.arrive() for _ in range(60)]
-    host.advance(150.0)  # what was queued has gone out as a last resort, as far as the limit lets it
+    host.advance(150.0)  # what was queued has been sent as a final attempt, as far as the limit allows
     assert START_LIMIT * 6 - 3 <= host.count_in_flight(requests) <= START_LIMIT * 6
 
 
 def test_a_third_tier_makes_room_for_requests_in_work_as_it_does_at_the_start() -> None:
     """With three tiers, latencies of 1.7 times the baseline are no congestion.
 
-    Two of three requests were rejected on a calm day, as the limit let no more into work than it let out.
+    So the capacity bound must leave a margin beyond the requests in work.
     """
     limits = []
     per_s = 60
@@ -209,7 +208,7 @@
 
 
 def rejected_fraction(latency_ms: float, tiers: int, per_s: int) -> float:
-    """The part of an even stream that is never sent, where nothing queues and responses take this long."""
+    """The part of an even stream that is never sent, where servers queue nothing and take this long."""
     settings = Settings(
         (SLOWEST_CLASS,), node_count=13, tier_count=tiers, warm_up_ms=20_000.0, response_slack_ms=500.0
     )
@@ -227,12 +226,12 @@
 def test_requests_that_take_long_are_not_rejected_for_their_number(tiers: int, most: float) -> None:
     """Requests in work do not count against the limit where responses take long by themselves.
 
-    On a calm day of three tiers responses took 1.3 s of an objective of 4.5 s, the limit of six for each
-    server was below what is in work, and two of three requests were rejected without any congestion.
+    With responses of 1.3 s, of an objective of 4.5 s, more requests are in work than the start limit of six
+    for each server, without any congestion.
     """
     assert rejected_fraction(latency_ms=1300.0, tiers=tiers, per_s=9) < most
 
 
 def test_requests_in_flight_stay_bounded_where_nothing_is_answered() -> None:
-    """Only responses make room for more: requests that hang must not."""
+    """Only responses raise the capacity bound; requests without a response must not."""
     assert rejected_fraction(latency_ms=60_000.0, tiers=3, per_s=9) > 0.8
--- a/tests/policy/test_congestion.py
+++ b/tests/policy/test_congestion.py
@@ -28,7 +28,7 @@
 
 
 def test_few_responses_signal_congestion_sooner_than_many() -> None:
-    """By the time five responses told of twice the baseline, the servers were overloaded."""
+    """Five responses of twice the baseline come when the servers are overloaded already."""
     events = []
     for pause_ms in (5.0, 2000.0):
         host = make_host()
@@ -47,7 +47,7 @@
 ) -> None:
     """Latencies stay just inside their target, so that a single rejection counted starts load shedding.
 
-    Servers that drained one after another once had the limit cut and half of all requests rejected.
+    Servers that drain one after another reject requests without any congestion.
     """
     host = make_host(endpoint_count=5)
     host.serve(18, latency_ms=380.0)
@@ -86,7 +86,7 @@
 
 
 def test_the_quick_responses_of_the_first_moments_are_no_baseline() -> None:
-    """Requests sent together come back quick ones first; a third of a day was once shed for that."""
+    """Of requests sent together the quick ones end first, which must not set the baseline."""
     host = make_host(endpoint_count=30)
     requests = [host.arrive() for _ in range(150)]
     sent = [r for r in requests if host.requests[r].attempts]
@@ -105,7 +105,7 @@
 
 
 def test_the_responses_of_an_empty_fleet_are_no_baseline() -> None:
-    """Twice the latency of a node's first few responses was the usual mean."""
+    """The usual mean latency may be twice that of a node's first few responses."""
     host = make_host(SLOW_CLASS)
     host.serve(12, latency_ms=50.0)
     host.serve(60, latency_ms=150.0)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -111,10 +111,7 @@
 
 
 def test_failed_polls_do_not_multiply() -> None:
-    """Every failed poll once left a second timer behind.
-
-    Polls doubled with each backoff until their count overflowed a float and stopped the node.
-    """
+    """With a second timer for every failed poll, polls would double with each backoff."""
     host = polling_host()
     answered = 0
     per_second = []
@@ -171,7 +168,7 @@
 
 
 def test_wake_ups_do_not_multiply_while_polls_fail() -> None:
-    """A timer is always pending then, and each shorter one behind it left a wake-up that never went away."""
+    """A timer is always pending then, and an earlier one must not leave another wake-up pending."""
     host = make_host(poll_endpoint_list=True, poll_within_ms=6000.0)
     for step in range(300):
         if step % 5 == 0:
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -10,7 +10,7 @@
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 FAULTY = bytes([2])
-SAFE_CLASS, UNSAFE_CLASS = 0, 1
+NON_IDEMPOTENT_CLASS = 1
 
 
 # ---------------------------------------------------------------- ejection
@@ -40,7 +40,7 @@
     host.handle(HealthCheckEnded(FAULTY, Outcome.OK, 1.0))
     mark = len(host.actions)
     for _ in range(40):
-        host.end_attempt(host.arrive(UNSAFE_CLASS), 0, Outcome.OK)
+        host.end_attempt(host.arrive(NON_IDEMPOTENT_CLASS), 0, Outcome.OK)
     assert FAULTY not in host.endpoints_sent_to(mark)
 
 
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.TIMEOUT])
 @pytest.mark.parametrize("answers", [False, True])
 def test_a_late_outcome_cools_an_endpoint_down_only_if_it_was_silent(outcome: Outcome, answers: bool) -> None:
-    """At nodes with few requests a crowded server once kept its full share for tens of seconds."""
+    """At a node with few requests the average of an overloaded server shows that too late."""
     host = make_host(endpoint_count=5)
     host.serve(60)
     late = host.arrive()
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.NOT_SENT])
 def test_a_fleet_that_slows_down_as_one_cools_down_a_third_at_most(outcome: Outcome) -> None:
-    """Cooldown is for an endpoint that lags behind its peers; the attempt timeout grows with the fleet."""
+    """Cooldown is for an endpoint that is slower than its peers; attempt timeouts follow the fleet."""
     host = make_host(endpoint_count=9, max_attempts=1)
     host.serve(60)
     requests = [host.arrive() for _ in range(9)]
@@ -128,7 +128,7 @@
 
 
 def test_an_endpoint_that_rejects_all_requests_is_left_alone_for_a_while() -> None:
-    """Servers that drained before the list said so once had the limit cut and half of all rejected."""
+    """Servers may drain before the endpoint list says so, which is no congestion."""
     host = make_host(endpoint_count=5)
     host.serve(60)
     since = len(host.actions)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -59,7 +59,7 @@
 def test_a_keyed_retry_leaves_time_for_its_connection_within_the_window(
     ended_ms: float, retried: bool
 ) -> None:
-    """Where a third of the connections came up late, retries were sent in the window and written after it."""
+    """A retry that is sent within the window may be written after it, once its connection is established."""
     host = make_host(
         keyed(DeduplicationScope.ALL, 1000.0),
         endpoint_count=2,
@@ -115,10 +115,10 @@
 
 
 @pytest.mark.parametrize("hedging_allowed", [False, True])
-def test_the_last_check_before_a_send_rejects_what_its_callers_should_not_ask_for(
+def test_the_last_check_before_a_send_rejects_what_earlier_checks_should_have_filtered(
     hedging_allowed: bool,
 ) -> None:
-    """No event reaches these checks today, as the callers filter first: they are called directly."""
+    """No event fails these checks, as earlier ones filter the same cases: they are called directly."""
     host = host_in_cells(IDEMPOTENT, 3, hedging_allowed=hedging_allowed, max_attempts=2)
     context = host.balancer.context
     requests = context.requests
@@ -165,7 +165,7 @@
 
 @pytest.mark.parametrize("answers", [True, False])
 def test_a_late_attempt_is_hedged_only_if_its_endpoint_answers_nobody(answers: bool) -> None:
-    """Long work on a healthy server was once given up and sent again."""
+    """Long work on a healthy server must not be cancelled and sent again."""
     host = make_host(endpoint_count=2)
     host.serve(60, latency_ms=60.0)
     late = host.arrive()
@@ -180,7 +180,7 @@
 
 
 def test_an_inner_tier_hedges_while_its_latency_is_twice_the_baseline() -> None:
-    """A congested inner tier once gave up hedging for good: a request waited there for its deadline."""
+    """Without hedging a request at a silent server would wait for its deadline."""
     host = make_host(tier_index=2, tier_count=3)
     host.serve(200, latency_ms=20.0)
     host.serve(100, latency_ms=70.0)
@@ -232,7 +232,7 @@
 def test_a_non_idempotent_request_gets_a_new_connection_to_an_endpoint_not_heard_of_lately(
     quiet_ms: float, class_index: int, closes: bool
 ) -> None:
-    """A machine that has vanished leaves its connections open and swallows what is written to them."""
+    """A machine that has failed may leave its connections open without an answer."""
     host = make_host(IDEMPOTENT, NON_IDEMPOTENT)
     host.serve(60)
     burst = [host.arrive() for _ in range(24)]
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("slow_ms", [20.0, 35.0])
 def test_on_the_ordinary_path_the_vector_alone_decides(host: SimulatedHost, slow_ms: float) -> None:
-    """One request at a time on a healthy fleet: an automaton that learns the same foretells the draws."""
+    """One request at a time on a healthy fleet: an automaton with the same input predicts the draws."""
     automaton = Automaton()
     automaton.resize(dict.fromkeys(host.endpoints, 1.0))
     slow = bytes([2])
@@ -70,7 +70,7 @@
 
 
 def test_a_full_endpoint_gets_a_concurrency_limit_and_is_not_ejected() -> None:
-    """Crowds of failed connects once bounced off live servers, which were then ejected."""
+    """A server that accepts no further connection but answers others is full, not dead."""
     host = make_host(endpoint_count=3)
     host.serve(40)
     requests = [host.arrive() for _ in range(12)]
@@ -105,7 +105,7 @@
 
 
 class Node:
-    """A node of many and the endpoints that it sends to."""
+    """One of many nodes, and the endpoints that it sends to."""
 
     def __init__(
         self,
@@ -128,15 +128,15 @@
         self._balancer.handle(EndpointListUpdate(EndpointListKind.FULL, tuple(rows)), 1.0)
 
     def subset(self, draws: int = 100) -> set[EndpointId]:
-        """The endpoints that get requests while nothing else is in flight; chance misses none of eight."""
+        """The endpoints that get requests while nothing else is in flight, out of so many draws."""
         endpoints = set()
         for _ in range(draws):
-            # A client error teaches the node nothing, so that all draws are alike.
+            # The node does not learn from a client error, so that all draws are alike.
             endpoints.update(self.send({}, Outcome.CLIENT_ERROR))
         return endpoints
 
     def send(self, outcomes: dict[EndpointId, Outcome], otherwise: Outcome) -> list[EndpointId]:
-        """The endpoints that one request goes to; each attempt ends at once as told for its endpoint."""
+        """The endpoints that a request is sent to; each attempt ends at once with its endpoint's outcome."""
         self._requests += 1
         actions = self._balancer.handle(RequestArrived(self._requests, 0, 3000.0), 10.0)
         endpoints = [a.endpoint_id for a in actions if isinstance(a, SendAttempt)]
@@ -159,7 +159,7 @@
 
 
 def test_subsets_cover_all_endpoints_alike_and_hold_every_machine_type() -> None:
-    """With sixty endpoints a node met each twice a minute and learned nothing in time."""
+    """Without subsets a node of many sends each of sixty endpoints too few requests to learn from them."""
     met: Counter[EndpointId] = Counter()
     for index in range(NODES):
         subset = Node(index).subset()
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -25,7 +25,7 @@
 
 
 def host_with_restarts(warm: int, restarted: int, per_s: int = 20) -> SimulatedHost:
-    """A node that has sent so many requests a second to each of its servers for 4 s, when some restart."""
+    """A node that has sent this rate of requests to each of its servers for 4 s, when some restart."""
     settings = Settings(
         classes=(IDEMPOTENT,),
         warm_up_ms=WARM_UP_MS,
@@ -42,7 +42,7 @@
 
 
 def test_the_budget_of_a_warming_endpoint_counts_warming_capacity_too() -> None:
-    """With six in ten replaced, all that is sent, over the few warm ones, is more than one bears."""
+    """With most servers replaced, all answered work divided by the warm ones is more than one sustains."""
     per_s, calm_s, pause_s = 200, 4.0, 0.5 * WARM_UP_MS / 1000.0
     host = host_with_restarts(warm=2, restarted=2, per_s=per_s)
     host.advance(0.5 * WARM_UP_MS)
@@ -64,8 +64,7 @@
 def test_a_warming_endpoint_is_used_for_what_it_can_do() -> None:
     """Endpoints that warm up are used as far as their capacity goes.
 
-    With six in ten replaced, they once got a third of what they could do while the warm ones were driven into
-    overload.
+    Otherwise the warm servers are overloaded while many others warm up.
     """
     host = host_with_restarts(warm=9, restarted=1)
     per_s = host.serve_evenly(4.0, 200).count(bytes([9])) / 4.0
@@ -89,8 +88,8 @@
             if host.requests[request].endpoint_of(0) == restarted:
                 sent_at.append(host.now)
             host.end_attempt(request, 0, Outcome.OK)
-    assert sent_at  # it does get its part
-    warm_per_s = 200 / 4  # what a warm server bore before the burst stands in for what it can do
+    assert sent_at  # it gets its part
+    warm_per_s = 200 / 4  # what a warm server sustained before the burst
     for begin in sent_at:
         window = [at for at in sent_at if begin <= at < begin + 1000]
         capacity = initial_capacity + (1 - initial_capacity) * (begin - started) / warm_up_ms
@@ -99,7 +98,7 @@
 
 @pytest.mark.parametrize("node_count", [1, 4])
 def test_endpoints_that_all_warm_up_are_used(node_count: int) -> None:
-    """After a power cut nodes and servers start together: no node has learned from warm ones what to send."""
+    """When nodes and servers start together no node has learned from warm servers what to send."""
     host = make_host(endpoint_count=4, seed=3, warm_up_ms=WARM_UP_MS, node_count=node_count)
     host.now += WARM_UP_MS
     host.update_endpoints(Endpoint(bytes([i]), started_ms=host.now) for i in range(4))
@@ -125,7 +124,7 @@
 def test_many_nodes_together_keep_to_the_budget_of_warming_endpoints(
     nodes: int, multiple: float, new_nodes: bool, seed: int
 ) -> None:
-    """Six of ten are replaced while half as much again comes in, whatever multiple the settings name."""
+    """Six of ten servers are replaced while the arrivals rise by half, with any overload multiple."""
     fleet = Fleet(nodes, multiple, new_nodes, seed)
     fleet.run()
     assert any(sent.notified for sent in fleet.sent)
@@ -134,7 +133,7 @@
 
 @pytest.mark.parametrize(("nodes", "part"), [(4, 0.4), (30, 0.1), (230, 0.05)])
 def test_many_new_nodes_before_warming_endpoints_alone_keep_to_the_budget(nodes: int, part: float) -> None:
-    """All servers and all nodes have just started, and more comes in than warm servers would do."""
+    """All servers and nodes have just started, and the arrivals exceed what warm servers would sustain."""
     for seed in (2, 8, 9):
         fleet = Fleet(nodes, 3.0, True, seed, replaced=10, hinted=False)
         fleet.run()
