--- a/load_balancer/estimation/latency.py
+++ b/load_balancer/estimation/latency.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 
 from load_balancer.estimation.averages import MeanDeviation
 
@@ -17,11 +16,13 @@
 """It is never late before this many means, which matters for work that always takes the same time."""
 
 
-@dataclass(slots=True)
 class LatencyEstimator(MeanDeviation):
     """Mean and mean deviation of latencies in milliseconds."""
 
-    smoothing_factor: float = LATENCY_SMOOTHING_FACTOR
+    __slots__ = ()
+
+    def __init__(self) -> None:
+        super().__init__(LATENCY_SMOOTHING_FACTOR)
 
     def attempt_timeout(self) -> float:
         """After how many milliseconds an attempt counts as late; infinite before the first latency."""
--- a/load_balancer/estimation/rates.py
+++ b/load_balancer/estimation/rates.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class DecayingRate:
     """The recent rate of units, in which older ones decay exponentially; unbiased from the first units on.
 
@@ -45,7 +45,7 @@
         return self.count * math.exp(-(now - self.counted_at) / self.time_constant_ms)
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class TokenBucket:
     """A bucket that fills at a rate and holds the tokens of one second.
 
--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -1,16 +1,13 @@
 """Admission control before the concurrency limit: tenant quotas and queue timeouts."""
 
-from __future__ import annotations
-
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.estimation.rates import TokenBucket
 from load_balancer.settings import Settings
 from load_balancer.state.records import Request
 
 
-@dataclass(frozen=True, slots=True)
-class QueueParameters:
+class QueueParameters(NamedTuple):
     """How long requests may queue.
 
     The timeout is short: a rejected client retries in time, while a request that has queued for long takes
--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -4,17 +4,14 @@
 averages, theta the learning rate of the vector.
 """
 
-from __future__ import annotations
-
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.estimation.probability import floored
 from load_balancer.events import EndpointId
 
 
-@dataclass(frozen=True, slots=True)
-class AutomatonParameters:
+class AutomatonParameters(NamedTuple):
     """The rates of an automaton.  A node sees few responses, so both are far above the published ones.
 
     Of N nodes each sees an N-th of the responses, while the random walks of their vectors cancel out in what
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -4,8 +4,6 @@
 here reads a clock or a global random source: time comes with each event, randomness from a seed.
 """
 
-from __future__ import annotations
-
 from load_balancer import events
 from load_balancer.actions import Action, CancelAttempt, CloseIdleConnections, FinishReason, SendAttempt
 from load_balancer.estimation.averages import RelativeSize
--- a/load_balancer/policy/circuit_breakers.py
+++ b/load_balancer/policy/circuit_breakers.py
@@ -1,9 +1,7 @@
 """Circuit breakers: an endpoint that fails one class of requests is excluded for that class alone."""
 
-from __future__ import annotations
-
 import math
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.policy.failure_detection import FAILURES, PAUSES, can_exclude, draw_pause_ms
 from load_balancer.settings import Idempotency
@@ -11,8 +9,7 @@
 from load_balancer.state.endpoint_records import CircuitBreakerState, EndpointRecord
 
 
-@dataclass(frozen=True, slots=True)
-class CircuitBreakerParameters:
+class CircuitBreakerParameters(NamedTuple):
     """When a circuit breaker opens, beside FailureParameters.
 
     Attributes:
@@ -38,8 +35,7 @@
     return not (breaker.half_open and record.in_flight_by_class[class_index])
 
 
-@dataclass(frozen=True, slots=True)
-class PeerFailures:
+class PeerFailures(NamedTuple):
     """How the other endpoints do with one class.
 
     Attributes:
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -1,9 +1,7 @@
 """The adaptive concurrency limit: how many attempts of this node may be in flight."""
 
-from __future__ import annotations
-
 import math
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.policy.admission import sharing_nodes
 from load_balancer.policy.congestion import CONGESTION, CongestionMonitor
@@ -12,8 +10,7 @@
 from load_balancer.state.records import Request
 
 
-@dataclass(frozen=True, slots=True)
-class CapacityParameters:
+class CapacityParameters(NamedTuple):
     """What the listed servers sustain, whatever the latencies are.
 
     Attributes:
@@ -29,8 +26,7 @@
     tiers_per_depth: float = 2.0
 
 
-@dataclass(frozen=True, slots=True)
-class GrowthParameters:
+class GrowthParameters(NamedTuple):
     """How the limit grows while there is no congestion.
 
     Attributes:
@@ -47,8 +43,7 @@
     rate_margin: float = 1.65
 
 
-@dataclass(frozen=True, slots=True)
-class CutParameters:
+class CutParameters(NamedTuple):
     """How the limit falls under congestion.
 
     Attributes:
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -1,17 +1,14 @@
 """The congestion signal: latencies against their target and against the baseline of light load."""
 
-from __future__ import annotations
-
 import math
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.estimation.latency import LatencyEstimator
 from load_balancer.estimation.rates import DecayingRate
 from load_balancer.state.context import NodeContext
 
 
-@dataclass(frozen=True, slots=True)
-class CongestionParameters:
+class CongestionParameters(NamedTuple):
     """Up to which latencies the fleet is not congested; latency ratios are in latency objectives.
 
     Attributes:
@@ -30,8 +27,7 @@
     sparse_baselines: float = 1.5
 
 
-@dataclass(frozen=True, slots=True)
-class AveragingParameters:
+class AveragingParameters(NamedTuple):
     """Over how many responses latencies are averaged.
 
     Attributes:
@@ -45,8 +41,7 @@
     objectives: float = 2.0
 
 
-@dataclass(frozen=True, slots=True)
-class BaselineParameters:
+class BaselineParameters(NamedTuple):
     """When the baseline latency is known, and how it follows.
 
     Attributes:
--- a/load_balancer/policy/endpoint_limits.py
+++ b/load_balancer/policy/endpoint_limits.py
@@ -1,16 +1,13 @@
 """The concurrency limit of each endpoint, which follows the attempts that it rejects and serves."""
 
-from __future__ import annotations
-
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.policy.failure_detection import FAILURES
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointLimitParameters:
+class EndpointLimitParameters(NamedTuple):
     """How a rejection bounds what an endpoint gets.
 
     Attributes:
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -1,9 +1,7 @@
 """The endpoint list: which endpoints there are, and polling for the list with backoff."""
 
-from __future__ import annotations
-
 import math
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.actions import PollEndpointList
 from load_balancer.events import EndpointListKind, EndpointListUpdate
@@ -21,8 +19,7 @@
 MIN_ENDPOINT_WEIGHT = 1e-3
 
 
-@dataclass(frozen=True, slots=True)
-class PollParameters:
+class PollParameters(NamedTuple):
     """The pauses between polls, as parts of the time within which the settings require a poll.
 
     Attributes:
--- a/load_balancer/policy/failure_detection.py
+++ b/load_balancer/policy/failure_detection.py
@@ -1,14 +1,11 @@
 """What the outlier detector and the circuit breakers share: failure rates and the pauses that follow."""
 
-from __future__ import annotations
-
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.state.context import NodeContext
 
 
-@dataclass(frozen=True, slots=True)
-class FailureParameters:
+class FailureParameters(NamedTuple):
     """When failures are held against an endpoint; always in comparison with its peers.
 
     Attributes:
@@ -29,8 +26,7 @@
     max_ejected_fraction: float = 0.34
 
 
-@dataclass(frozen=True, slots=True)
-class PauseParameters:
+class PauseParameters(NamedTuple):
     """How long an endpoint or a class stays excluded.
 
     The unit is the warm-up time, as the usual cure is a restart.  Where servers warm up in a second that
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -1,9 +1,5 @@
 """What the outcome of an attempt says of its endpoint, of its class and of the load."""
 
-from __future__ import annotations
-
-from dataclasses import dataclass
-
 from load_balancer.events import AttemptEnded, Outcome
 from load_balancer.policy.automaton import Automaton
 from load_balancer.policy.circuit_breakers import CircuitBreakers
@@ -26,27 +22,37 @@
 _GIVEN_UP = (Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
-@dataclass(slots=True)
 class OutcomeRecorder:
     """Passes each outcome to the parts that learn from it; alone in writing ``last_response_at``."""
 
-    context: NodeContext
-    automaton: Automaton
-    slow_start: SlowStart
-    monitor: CongestionMonitor
-    limit: ConcurrencyLimit
-    breakers: CircuitBreakers
-    outliers: OutlierDetector
-    endpoint_limits: EndpointLimits
+    def __init__(
+        self,
+        context: NodeContext,
+        automaton: Automaton,
+        slow_start: SlowStart,
+        monitor: CongestionMonitor,
+        limit: ConcurrencyLimit,
+        breakers: CircuitBreakers,
+        outliers: OutlierDetector,
+        endpoint_limits: EndpointLimits,
+    ) -> None:
+        self._context = context
+        self._automaton = automaton
+        self._slow_start = slow_start
+        self._monitor = monitor
+        self._limit = limit
+        self._breakers = breakers
+        self._outliers = outliers
+        self._endpoint_limits = endpoint_limits
 
     def record(self, attempt: Attempt, event: AttemptEnded, request: Request | None) -> None:
         """Record an outcome; its request is None where it has had its final answer."""
         record, outcome, elapsed_ms = attempt.record, event.outcome, event.elapsed_ms
-        timeout_ms = self.monitor.latency.attempt_timeout()
-        since_response_ms = self.context.now - record.last_response_at
+        timeout_ms = self._monitor.latency.attempt_timeout()
+        since_response_ms = self._context.now - record.last_response_at
         if elapsed_ms > timeout_ms and since_response_ms >= elapsed_ms:
             # Averages need seven responses, which take most of a minute where requests are few.
-            self.outliers.cool_down_if_spare(record, LATE_COOLDOWN_FACTOR * elapsed_ms)
+            self._outliers.cool_down_if_spare(record, LATE_COOLDOWN_FACTOR * elapsed_ms)
         if outcome is Outcome.OK:
             self._record_success(attempt, elapsed_ms, request)
         elif outcome is Outcome.REJECTED or (
@@ -63,51 +69,51 @@
 
     def record_response(self, record: EndpointRecord) -> None:
         """An endpoint has sent any response or begun one."""
-        record.last_response_at = self.context.now
+        record.last_response_at = self._context.now
 
     def _record_success(self, attempt: Attempt, elapsed_ms: float, request: Request | None) -> None:
-        record, objective_ms = attempt.record, self.context.objective_ms
+        record, objective_ms = attempt.record, self._context.objective_ms
         self.record_response(record)
-        self.endpoint_limits.record_success(record)
-        self.monitor.latency.observe(elapsed_ms)
+        self._endpoint_limits.record_success(record)
+        self._monitor.latency.observe(elapsed_ms)
         if request is not None:
-            self.monitor.class_latencies[request.class_index].observe(elapsed_ms)
+            self._monitor.class_latencies[request.class_index].observe(elapsed_ms)
             objective_ms = request.request_class.latency_objective_ms
         # Heavy work says little of its server or of the load.
         latency_ms = elapsed_ms / ((1.0 - COST_HINT_WEIGHT) + COST_HINT_WEIGHT * attempt.work)
-        self.slow_start.record_answer(record, attempt.work)
-        self.monitor.record_answer(latency_ms)
-        self.limit.record_ratio(elapsed_ms / objective_ms)
-        self.automaton.learn(record.endpoint.id, latency_ms)
-        self.breakers.record_success(record, attempt.class_index)
-        self.outliers.record_success(record)
+        self._slow_start.record_answer(record, attempt.work)
+        self._monitor.record_answer(latency_ms)
+        self._limit.record_ratio(elapsed_ms / objective_ms)
+        self._automaton.learn(record.endpoint.id, latency_ms)
+        self._breakers.record_success(record, attempt.class_index)
+        self._outliers.record_success(record)
 
     def _record_rejection(self, record: EndpointRecord, elapsed_ms: float) -> None:
         """An endpoint that answers others but accepts no further request or connection is full, not dead."""
-        self.outliers.cool_down(record, self.endpoint_limits.record_rejection(record))
-        self.automaton.learn_failure(record.endpoint.id, elapsed_ms)
-        if self.endpoint_limits.fleet_rejects():
-            self.limit.record_ratio(1.0)
+        self._outliers.cool_down(record, self._endpoint_limits.record_rejection(record))
+        self._automaton.learn_failure(record.endpoint.id, elapsed_ms)
+        if self._endpoint_limits.fleet_rejects():
+            self._limit.record_ratio(1.0)
 
     def _record_failure(self, attempt: Attempt, outcome: Outcome, elapsed_ms: float) -> None:
         record, class_index = attempt.record, attempt.class_index
         if outcome in (Outcome.ERROR, Outcome.MALFORMED_RESPONSE):
             self.record_response(record)
-        self.automaton.learn_failure(record.endpoint.id, elapsed_ms)
-        self.breakers.record_failure(record, class_index)
+        self._automaton.learn_failure(record.endpoint.id, elapsed_ms)
+        self._breakers.record_failure(record, class_index)
         if attempt.process_replaced():
             return
-        if outcome is Outcome.ERROR and self.breakers.record_error(record, class_index):
+        if outcome is Outcome.ERROR and self._breakers.record_error(record, class_index):
             return
-        self.outliers.record_failure(record, outcome)
+        self._outliers.record_failure(record, outcome)
 
     def _record_timeout(
         self, attempt: Attempt, outcome: Outcome, elapsed_ms: float, request: Request
     ) -> None:
         """An attempt that was given up took at least this long; without it the timeouts would shorten."""
-        self.monitor.latency.observe(elapsed_ms)
-        self.monitor.class_latencies[request.class_index].observe(elapsed_ms)
-        self.limit.record_ratio(elapsed_ms / request.request_class.latency_objective_ms)
-        self.automaton.learn_failure(attempt.record.endpoint.id, elapsed_ms)
-        if not attempt.process_replaced() and elapsed_ms >= self.monitor.latency.attempt_timeout():
-            self.outliers.record_failure(attempt.record, outcome)
+        self._monitor.latency.observe(elapsed_ms)
+        self._monitor.class_latencies[request.class_index].observe(elapsed_ms)
+        self._limit.record_ratio(elapsed_ms / request.request_class.latency_objective_ms)
+        self._automaton.learn_failure(attempt.record.endpoint.id, elapsed_ms)
+        if not attempt.process_replaced() and elapsed_ms >= self._monitor.latency.attempt_timeout():
+            self._outliers.record_failure(attempt.record, outcome)
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -1,7 +1,5 @@
 """Outlier detection: endpoints that fail where their peers do not are skipped or ejected."""
 
-from __future__ import annotations
-
 import math
 
 from load_balancer.actions import CheckHealth, CloseIdleConnections
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -1,8 +1,6 @@
 """Further attempts of a request (retries and hedged requests) and the final answer to one not served."""
 
-from __future__ import annotations
-
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.actions import FailRequest, FinishReason, RejectRequest
 from load_balancer.events import Outcome
@@ -15,8 +13,7 @@
 from load_balancer.state.timer_queue import TimerKind
 
 
-@dataclass(frozen=True, slots=True)
-class RetryParameters:
+class RetryParameters(NamedTuple):
     """The budget of further attempts, and when rejected clients may return.
 
     Attributes:
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -1,9 +1,7 @@
 """Selection: which endpoints an attempt of a request may be drawn from."""
 
-from __future__ import annotations
-
 from collections.abc import Sequence
-from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from load_balancer.policy.admission import sharing_nodes
 from load_balancer.policy.automaton import Automaton
@@ -18,8 +16,7 @@
 from load_balancer.state.records import Request
 
 
-@dataclass(frozen=True, slots=True)
-class SelectionParameters:
+class SelectionParameters(NamedTuple):
     """Which endpoints are skipped.
 
     Attributes:
@@ -78,28 +75,32 @@
     return [i for i, record in enumerate(records) if permits(context, request, record)]
 
 
-@dataclass(slots=True)
 class EndpointSelector:
     """Draws the endpoint of an attempt by the automaton's vector, from those that may get it."""
 
-    context: NodeContext
-    automaton: Automaton
-    subset: EndpointSubset
-    slow_start: SlowStart
-    monitor: CongestionMonitor
-    _max_waiting: float = field(init=False)
-    """This node's part of the requests that may wait at a server."""
-
-    def __post_init__(self) -> None:
-        self._max_waiting = max(1.0, PARAMETERS.max_waiting / sharing_nodes(self.context.settings))
+    def __init__(
+        self,
+        context: NodeContext,
+        automaton: Automaton,
+        subset: EndpointSubset,
+        slow_start: SlowStart,
+        monitor: CongestionMonitor,
+    ) -> None:
+        self._context = context
+        self._automaton = automaton
+        self._subset = subset
+        self._slow_start = slow_start
+        self._monitor = monitor
+        # This node's part of the requests that may wait at a server.
+        self._max_waiting = max(1.0, PARAMETERS.max_waiting / sharing_nodes(context.settings))
 
     def draw(self, request: Request, final_attempt: bool) -> EndpointRecord | None:
         """The endpoint of the next attempt, None where none may get it."""
         candidates = self.candidates(request, final_attempt)
         if not candidates:
             return None
-        position = self.automaton.draw(candidates, self.context.rng.random())
-        return self.context.endpoints.drawable[position]
+        position = self._automaton.draw(candidates, self._context.rng.random())
+        return self._context.endpoints.drawable[position]
 
     def candidates(self, request: Request, final_attempt: bool) -> list[int]:
         """The indices that the draw is conditioned on.
@@ -112,18 +113,18 @@
         usable = allowed
         if not final_attempt:
             usable, unhealthy = self._healthy(allowed, request)
-            if excluded + unhealthy > PARAMETERS.panic_fraction * len(self.context.endpoints.drawable):
+            if excluded + unhealthy > PARAMETERS.panic_fraction * len(self._context.endpoints.drawable):
                 usable = allowed
         if request.attempts:
             usable = self._prefer_untried(usable, request, final_attempt)
-        return self.subset.prefer_local(usable)
+        return self._subset.prefer_local(usable)
 
     def _prefer_untried(self, usable: list[int], request: Request, final_attempt: bool) -> list[int]:
         """The usable endpoints without an attempt of this request.
 
         Where there are none it is all usable ones, unless the request has an attempt in flight.
         """
-        records = self.context.endpoints.drawable
+        records = self._context.endpoints.drawable
         tried = {attempt.endpoint.id for attempt in request.attempts}
         untried = [i for i in usable if records[i].endpoint.id not in tried]
         if untried or (request.in_flight and not final_attempt):
@@ -136,14 +137,14 @@
         Returns:
             Their indices, and the number of endpoints that circuit breakers exclude.
         """
-        now, records = self.context.now, self.context.endpoints.drawable
-        slow_start, class_index = self.slow_start, request.class_index
+        now, records = self._context.now, self._context.endpoints.drawable
+        slow_start, class_index = self._slow_start, request.class_index
         capacity_fraction = slow_start.capacity_fraction
         allowed: list[int] = []
         excluded = 0
         warm_rate: float | None = None  # calculated once, and only if a server warms up
         min_rate = 0.0
-        for i in permitted(self.context, request):
+        for i in permitted(self._context, request):
             record = records[i]
             fraction = capacity_fraction(record)
             if fraction < 1.0:
@@ -163,13 +164,13 @@
         Returns:
             Their indices, and the number of endpoints that are unhealthy.
         """
-        now, records = self.context.now, self.context.endpoints.drawable
-        p, averages = self.automaton.p, self.automaton.average
-        mean = self.automaton.mean() or 0.0
-        timeout, baseline = self.monitor.latency.attempt_timeout(), self.monitor.baseline_latency
+        now, records = self._context.now, self._context.endpoints.drawable
+        p, averages = self._automaton.p, self._automaton.average
+        mean = self._automaton.mean() or 0.0
+        timeout, baseline = self._monitor.latency.attempt_timeout(), self._monitor.baseline_latency
         max_waiting = self._max_waiting
         share_factor, allowance = PARAMETERS.share_factor, PARAMETERS.share_allowance
-        total = len(self.context.requests.attempts)
+        total = len(self._context.requests.attempts)
         healthy: list[int] = []
         unhealthy = 0
         for i in allowed:
@@ -194,6 +195,6 @@
 
     def _spared_from_trials(self, request: Request) -> bool:
         """Whether a failed trial would lose the request for good, while other classes can take that risk."""
-        classes = self.context.settings.classes
+        classes = self._context.settings.classes
         has_repeatable = any(c.idempotency is not Idempotency.NON_IDEMPOTENT for c in classes)
         return has_repeatable and not request.repeatable()
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -1,16 +1,13 @@
 """Slow start: the budget of a server that warms up."""
 
-from __future__ import annotations
-
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.estimation.rates import DecayingRate
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
 
 
-@dataclass(frozen=True, slots=True)
-class SlowStartParameters:
+class SlowStartParameters(NamedTuple):
     """How much of a warm server's work a warming one gets.
 
     Attributes:
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -1,11 +1,9 @@
 """Endpoint subsetting and zone affinity: the endpoints that a node prefers among the usable ones."""
 
-from __future__ import annotations
-
 import hashlib
 import math
 from collections.abc import Sequence
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from load_balancer.events import EndpointId
 from load_balancer.state.context import NodeContext
@@ -14,8 +12,7 @@
 _DIGEST_BYTES = 6
 
 
-@dataclass(frozen=True, slots=True)
-class SubsetParameters:
+class SubsetParameters(NamedTuple):
     """When and how the endpoints are divided into subsets.
 
     Attributes:
--- a/load_balancer/state/endpoint_records.py
+++ b/load_balancer/state/endpoint_records.py
@@ -22,7 +22,7 @@
 """A request's id and the number of one of its attempts, from 0."""
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class OutlierState:
     """The outlier detector's state for an endpoint, written by ``policy.outliers.OutlierDetector``.
 
@@ -41,7 +41,7 @@
     cooldown_until: float = -math.inf
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class CircuitBreakerState:
     """An endpoint's circuit breaker for one class, written by ``policy.circuit_breakers.CircuitBreakers``.
 
@@ -62,7 +62,7 @@
     consecutive_openings: int = 0
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class ConcurrencyState:
     """The concurrency limit of an endpoint, written by ``policy.endpoint_limits.EndpointLimits``.
 
@@ -75,7 +75,7 @@
     consecutive_rejections: int = 0
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class SlowStartState:
     """The budget of an endpoint that warms up, written by ``policy.slow_start.SlowStart``.
 
@@ -88,7 +88,7 @@
     updated_at: float = 0.0
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class EndpointRecord:
     """What this node knows of an endpoint.
 
--- a/load_balancer/state/records.py
+++ b/load_balancer/state/records.py
@@ -18,7 +18,7 @@
 from load_balancer.state.endpoint_records import AttemptKey, EndpointRecord
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Attempt:
     """One attempt of a request.
 
@@ -47,7 +47,7 @@
         return self.endpoint.started_ms != self.record.endpoint.started_ms
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Request:
     """A request that this node has to answer.
 
--- a/load_balancer/state/timer_queue.py
+++ b/load_balancer/state/timer_queue.py
@@ -4,8 +4,8 @@
 
 import heapq
 from collections.abc import Iterator
-from dataclasses import dataclass
 from enum import Enum, auto
+from typing import NamedTuple
 
 from load_balancer.actions import SetTimer
 from load_balancer.events import EndpointId, RequestId
@@ -27,8 +27,7 @@
     """Look for queued requests whose timeout has passed."""
 
 
-@dataclass(frozen=True, slots=True)
-class Timer:
+class Timer(NamedTuple):
     """A timer and the request or endpoint that it is about."""
 
     kind: TimerKind
