--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -15,7 +15,7 @@
 
     Attributes:
         timeout_objectives: the longest time in the queue, in latency objectives of the request's class.
-        max_budget_fraction: but no more than this part of the time that is left of the request's budget.
+        max_budget_fraction: the longest time in the queue, as a part of what is left of the budget.
         check_interval_objectives: the time between checks of the queue, in latency objectives.
     """
 
--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -25,12 +25,13 @@
             stays under a sixth of a share.
         theta_times_r_per_node: theta for each node, times r; keeps the sum over all nodes as steady as
             theta_times_r keeps that of three.  For machine types their number takes the place of r.
-        max_theta_per_alpha: the averages must stay well ahead of the shares of endpoints.
-        max_type_theta_per_alpha: the shares of machine types rest on the averages of many endpoints.
-        floor_times_r: p_min is this over r; it also pulls shares that latency cannot tell apart back to
-            uniform.
+        max_theta_per_alpha: the largest ratio of theta to alpha, as the averages must adapt well before the
+            shares of endpoints.
+        max_type_theta_per_alpha: the same for machine types, whose shares depend on the averages of many
+            endpoints.
+        floor_times_r: p_min is this over r; the floor also evens out the shares of equal endpoints.
         new_endpoint_shares: the part of a mean share that a new endpoint gets; slow start bounds it further.
-        max_failure_means: a failure enters an average as this multiple of the mean at most.
+        max_failure_means: the most that a failure enters an average as, in means.
     """
 
     alpha: float = 0.15
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -11,7 +11,7 @@
 
 
 class CapacityParameters(NamedTuple):
-    """What the listed servers sustain, whatever the latencies are.
+    """What the listed servers sustain, independent of latencies.
 
     Attributes:
         start_per_server: attempts in flight for each warm server's worth of capacity, at the start and as the
@@ -48,7 +48,7 @@
 
     Attributes:
         max_factor: the limit falls to this part at each adjustment, or less the stronger the congestion is.
-        min_factor: and to no less than this part.
+        min_factor: the limit falls to no less than this part at one adjustment.
         rate_margin: it falls no further than this multiple of the attempts in flight that the best recent
             rate of responses needs at the baseline latency.
     """
@@ -90,7 +90,7 @@
         nodes.  So each request carries the random draw that settles the fraction.
         """
         in_flight = len(self._context.requests.attempts) + request.admission_draw
-        # Until the baseline is known, or there has been congestion, the limit has not learned anything.
+        # The limit is learned once the baseline is known or there has been congestion.
         learned = self._was_congested or self._monitor.baseline_latency < math.inf
         return (in_flight < self.limit or not learned) and in_flight < self.capacity_bound()
 
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -13,8 +13,8 @@
 
     Attributes:
         target_ratio: latencies are to stay below this ratio, less at inner tiers.
-        target_baselines: or below this multiple of the baseline ratio, where the objective leaves little
-            margin.
+        target_baselines: where the objective leaves little margin the bound is this multiple of the baseline
+            ratio.
         max_ratio: one very late response counts as this ratio at most.
         baselines: mean latencies are to stay below this multiple of the baseline latency as well.
         sparse_baselines: the same where the averages span only as few responses as they may.
--- a/load_balancer/policy/failure_detection.py
+++ b/load_balancer/policy/failure_detection.py
@@ -13,7 +13,8 @@
         malformed_smoothing_factor: the same for malformed responses, which any server sends now and then:
             four in a row exceed min_rate, three do not.
         min_rate: the failure rate from which an endpoint may be excluded.
-        min_peer_multiple: and the multiple of its peers' rate, so that a shared cause excludes no endpoint.
+        min_peer_multiple: the multiple of its peers' rate that it must reach as well, so that a shared cause
+            excludes no endpoint.
         recovered_rate: below this failure rate the next pause is the shortest again.
         max_ejected_fraction: the part of the fleet that may be ejected at once.
     """
@@ -57,7 +58,7 @@
 
 
 def can_exclude(excluded: int, count: int, max_fraction: float) -> bool:
-    """Whether one more of so many endpoints may be excluded beside those that are."""
+    """Whether one more endpoint may be excluded, out of this number."""
     return excluded + 1 <= max(1.0, max_fraction * count)
 
 
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -22,8 +22,9 @@
     Attributes:
         panic_fraction: with more than this part unhealthy, health is ignored, as the cause is not the
             servers.
-        share_factor: an endpoint may hold its share of the attempts in flight by this factor,
-        share_allowance: and this many attempts more.
+        share_factor: an endpoint is skipped when its part of the attempts in flight exceeds its share by this
+            factor.
+        share_allowance: attempts that an endpoint may have beyond that.
         max_waiting: requests that may wait at a server, over all nodes, judged by its average latency.
     """
 
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -60,7 +60,7 @@
         return all(r.outlier.ejected or self.capacity_fraction(r) < 1.0 for r in records)
 
     def capacity_fraction(self, record: EndpointRecord) -> float:
-        """The least part of its capacity that a server has by now: 1 once it is warm."""
+        """The part of its capacity that a server has at least: 1 once it is warm."""
         started_ms = record.endpoint.started_ms
         if started_ms <= 0:
             return 1.0
@@ -72,7 +72,7 @@
         return initial + (1.0 - initial) * max(age_ms, 0.0) / settings.warm_up_ms
 
     def total_capacity(self) -> float:
-        """The least capacity of all servers that are not ejected, in warm servers."""
+        """The capacity that all servers which are not ejected have at least, in warm servers."""
         fraction = self.capacity_fraction
         return max(1.0, sum(fraction(r) for r in self._context.endpoints.drawable if not r.outlier.ejected))
 
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -73,7 +73,7 @@
 
 
 def _assign(records: Sequence[EndpointRecord], node_index: int, subset_count: int) -> set[EndpointId]:
-    """A node's subset of so many, with machine types in proportion.
+    """The ids of a node's subset, with machine types in proportion.
 
     Endpoints lie on a ring by hash.  Each round of subset_count nodes has a ring of its own, on which the
     nodes are spaced evenly and take the endpoints that follow.  So all endpoints get the same number of
--- a/tests/simulator/frames.py
+++ b/tests/simulator/frames.py
@@ -9,10 +9,26 @@
 ENDPOINT_B = bytes.fromhex("0a9011f2b413")
 SEED = 5
 
-ENLIST, SYNC, ARRIVAL, FIRST, SETTLED, VANISHED, FIRED, PING_RESULT, DATAGRAM, POWER_OFF, TABLE = range(1, 12)
-FORWARD, BUG = 65, 74
+# The codes of received records.
+INSTANCE_STARTED = 1
+ENDPOINT_LIST_UPDATE = 2
+REQUEST_ARRIVED = 3
+RESPONSE_STARTED = 4
+ATTEMPT_ENDED = 5
+REQUEST_ABANDONED = 6
+TIMER_FIRED = 7
+HEALTH_CHECK_ENDED = 8
+PEER_MESSAGE = 9
+INSTANCE_KILLED = 10
+ENDPOINT_TABLE = 11
+
+# The codes of sent records.
+SEND_ATTEMPT = 65
+INSTANCE_FAULT = 74
+
+# The kinds of an endpoint list update, and states of an endpoint.
 DELTA, CACHED, FULL, FAILED = 1, 2, 3, 0
-READY, DRAINING = 1, 2
+SERVING, DRAINING = 1, 2
 
 REQUIRED_SETTINGS = {
     "profiles.count": "1",
@@ -51,42 +67,42 @@
     return struct.pack("<IdI", len(body), now_ms, len(records)) + body
 
 
-def enlist(instance_id: int, text: str | None = None) -> bytes:
+def instance_started(instance_id: int, text: str | None = None) -> bytes:
     """The start of an instance, by default with the required settings."""
     raw = (settings_text() if text is None else text).encode()
-    return record(ENLIST, struct.pack("<IQI", instance_id, SEED, len(raw)) + raw)
+    return record(INSTANCE_STARTED, struct.pack("<IQI", instance_id, SEED, len(raw)) + raw)
 
 
-def power_off(instance_id: int) -> bytes:
+def instance_killed(instance_id: int) -> bytes:
     """The end of an instance."""
-    return record(POWER_OFF, struct.pack("<I", instance_id))
+    return record(INSTANCE_KILLED, struct.pack("<I", instance_id))
 
 
-def table(number: int, *rows: bytes) -> bytes:
+def endpoint_table(number: int, *rows: bytes) -> bytes:
     """A numbered table of endpoint rows."""
-    return record(TABLE, struct.pack("<II", number, len(rows)) + b"".join(rows))
+    return record(ENDPOINT_TABLE, struct.pack("<II", number, len(rows)) + b"".join(rows))
 
 
-def row(endpoint_id: bytes, state: int = READY, started_ms: float = 0.0) -> bytes:
+def endpoint_row(endpoint_id: bytes, state: int = SERVING, started_ms: float = 0.0) -> bytes:
     """An endpoint row with weight 1.5, machine type 2, zone 1 and cell 7."""
     return struct.pack("<fH6sBHBd", 1.5, 2, endpoint_id, 1, 7, state, started_ms)
 
 
-def sync(instance_id: int, table_number: int, mode: int) -> bytes:
+def list_update(instance_id: int, table_number: int, mode: int) -> bytes:
     """An endpoint list update of version 41 that refers to a table."""
-    return record(SYNC, struct.pack("<IIIB", instance_id, 41, table_number, mode))
+    return record(ENDPOINT_LIST_UPDATE, struct.pack("<IIIB", instance_id, 41, table_number, mode))
 
 
-def arrival(instance_id: int, request_id: int, marks: int = 1) -> bytes:
+def request_arrived(instance_id: int, request_id: int, flags: int = 1) -> bytes:
     """A request of class 0 and tenant 1 with key 9, 240 ms left and a cost hint of 12 ms."""
-    fields = struct.pack("<IIHHQddH", instance_id, request_id, 0, 1, 9, 240.0, 12.0, marks)
-    return record(ARRIVAL, fields)
+    fields = struct.pack("<IIHHQddH", instance_id, request_id, 0, 1, 9, 240.0, 12.0, flags)
+    return record(REQUEST_ARRIVED, fields)
 
 
-def settled(instance_id: int, request_id: int, status: int, *, complete: bool = False) -> bytes:
+def attempt_ended(instance_id: int, request_id: int, status: int, *, finished: bool = False) -> bytes:
     """The end of attempt 0 of a request at endpoint A after 1 ms, without a load report."""
-    fields = struct.pack("<IIH6sHdBB", instance_id, request_id, 0, ENDPOINT_A, status, 1.0, complete, 0)
-    return record(SETTLED, fields)
+    fields = struct.pack("<IIH6sHdBB", instance_id, request_id, 0, ENDPOINT_A, status, 1.0, finished, 0)
+    return record(ATTEMPT_ENDED, fields)
 
 
 def read_replies(output: bytes) -> list[list[SentRecord]]:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -11,24 +11,24 @@
 
 from load_balancer.simulator.adapter import serve
 from tests.simulator.frames import (
-    BUG,
     CACHED,
     ENDPOINT_A,
     ENDPOINT_B,
-    FORWARD,
-    VANISHED,
+    INSTANCE_FAULT,
+    REQUEST_ABANDONED,
+    SEND_ATTEMPT,
     SentRecord,
-    arrival,
+    attempt_ended,
     batch,
-    enlist,
-    power_off,
+    endpoint_row,
+    endpoint_table,
+    instance_killed,
+    instance_started,
+    list_update,
     read_replies,
     record,
-    row,
+    request_arrived,
     settings_text,
-    settled,
-    sync,
-    table,
 )
 
 ADAPTER_MODULE = "load_balancer.simulator.adapter"
@@ -53,25 +53,51 @@
 
 def test_instance_that_is_killed_and_started_again_in_one_batch_forgets_its_endpoints() -> None:
     first, second = serve_batches(
-        batch(enlist(4), table(0, row(ENDPOINT_A)), sync(4, 0, CACHED), arrival(4, 1)),
-        batch(power_off(4), enlist(4), table(1, row(ENDPOINT_B)), sync(4, 1, CACHED), arrival(4, 2)),
+        batch(
+            instance_started(4),
+            endpoint_table(0, endpoint_row(ENDPOINT_A)),
+            list_update(4, 0, CACHED),
+            request_arrived(4, 1),
+        ),
+        batch(
+            instance_killed(4),
+            instance_started(4),
+            endpoint_table(1, endpoint_row(ENDPOINT_B)),
+            list_update(4, 1, CACHED),
+            request_arrived(4, 2),
+        ),
     )
-    sent_to = [[fields[8:14] for code, fields in reply if code == FORWARD] for reply in (first, second)]
+    sent_to = [[fields[8:14] for code, fields in reply if code == SEND_ATTEMPT] for reply in (first, second)]
     assert sent_to == [[ENDPOINT_A], [ENDPOINT_B]]
 
 
 def test_fault_of_one_instance_is_reported_and_the_others_go_on() -> None:
-    start = (enlist(4), enlist(5), table(0, row(ENDPOINT_A)), sync(4, 0, CACHED), sync(5, 0, CACHED))
-    attempt_never_sent = settled(4, 55, 200, complete=True)
-    (reply,) = serve_batches(batch(*start, attempt_never_sent, arrival(5, 7)))
-    assert [code for code, _ in reply if code in (BUG, FORWARD)] == [BUG, FORWARD]
-    assert b"attempt 0 of request 55 was not out" in next(fields for code, fields in reply if code == BUG)
+    start = (
+        instance_started(4),
+        instance_started(5),
+        endpoint_table(0, endpoint_row(ENDPOINT_A)),
+        list_update(4, 0, CACHED),
+        list_update(5, 0, CACHED),
+    )
+    attempt_never_sent = attempt_ended(4, 55, 200, finished=True)
+    (reply,) = serve_batches(batch(*start, attempt_never_sent, request_arrived(5, 7)))
+    assert [code for code, _ in reply if code in (INSTANCE_FAULT, SEND_ATTEMPT)] == [
+        INSTANCE_FAULT,
+        SEND_ATTEMPT,
+    ]
+    assert b"attempt 0 of request 55 was not out" in next(
+        fields for code, fields in reply if code == INSTANCE_FAULT
+    )
 
 
 def test_batch_of_thousands_of_arrivals_is_answered() -> None:
-    start = batch(enlist(4), table(0, row(ENDPOINT_A), row(ENDPOINT_B)), sync(4, 0, CACHED))
-    _, reply = serve_batches(start, batch(*(arrival(4, request_id) for request_id in range(1, 3001))))
-    assert any(code == FORWARD for code, _ in reply)
+    start = batch(
+        instance_started(4),
+        endpoint_table(0, endpoint_row(ENDPOINT_A), endpoint_row(ENDPOINT_B)),
+        list_update(4, 0, CACHED),
+    )
+    _, reply = serve_batches(start, batch(*(request_arrived(4, request_id) for request_id in range(1, 3001))))
+    assert any(code == SEND_ATTEMPT for code, _ in reply)
 
 
 def test_command_ends_with_exit_code_0_at_the_end_of_input() -> None:
@@ -83,15 +109,17 @@
     "raw",
     [
         pytest.param(b"\x01\x02\x03", id="header cut short"),
-        pytest.param(batch(arrival(4, 1))[:-3], id="body cut short"),
+        pytest.param(batch(request_arrived(4, 1))[:-3], id="body cut short"),
         pytest.param(struct.pack("<IdI", 0, 1.0, 1), id="fewer records than announced"),
         pytest.param(batch(record(99, b"")), id="unknown record code"),
-        pytest.param(batch(record(VANISHED, b"\x01")), id="fields cut short"),
-        pytest.param(batch(settled(4, 5, 777, complete=True)), id="unknown status"),
-        pytest.param(batch(sync(4, 3, CACHED)), id="unknown table"),
-        pytest.param(batch(arrival(4, 1)), id="instance not started"),
-        pytest.param(batch(enlist(4, settings_text({"profiles.count": "0"}))), id="unusable settings"),
-        pytest.param(batch(enlist(4)) + b"\x00", id="surplus byte"),
+        pytest.param(batch(record(REQUEST_ABANDONED, b"\x01")), id="fields cut short"),
+        pytest.param(batch(attempt_ended(4, 5, 777, finished=True)), id="unknown status"),
+        pytest.param(batch(list_update(4, 3, CACHED)), id="unknown table"),
+        pytest.param(batch(request_arrived(4, 1)), id="instance not started"),
+        pytest.param(
+            batch(instance_started(4, settings_text({"profiles.count": "0"}))), id="unusable settings"
+        ),
+        pytest.param(batch(instance_started(4)) + b"\x00", id="surplus byte"),
     ],
 )
 def test_malformed_input_ends_the_command_with_exit_code_2_and_one_line(raw: bytes) -> None:
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -45,29 +45,29 @@
 )
 from load_balancer.simulator.encoding import encode_action, encode_fault
 from tests.simulator.frames import (
+    ATTEMPT_ENDED,
     CACHED,
-    DATAGRAM,
     DELTA,
     DRAINING,
     ENDPOINT_A,
     ENDPOINT_B,
     FAILED,
-    FIRED,
-    FIRST,
     FULL,
-    PING_RESULT,
+    HEALTH_CHECK_ENDED,
+    PEER_MESSAGE,
+    REQUEST_ABANDONED,
+    RESPONSE_STARTED,
     SEED,
-    SETTLED,
-    VANISHED,
-    arrival,
-    enlist,
-    power_off,
+    TIMER_FIRED,
+    attempt_ended,
+    endpoint_row,
+    endpoint_table,
+    instance_killed,
+    instance_started,
+    list_update,
     record,
-    row,
+    request_arrived,
     settings_text,
-    settled,
-    sync,
-    table,
 )
 
 WIRE_CODED_ACTIONS: list[tuple[Action, str]] = [
@@ -97,24 +97,26 @@
 @pytest.mark.parametrize(
     ("encoded", "event"),
     [
-        (arrival(3, 99), RequestArrived(99, 0, 240.0, 1, 9, 12.0, False, False)),
-        (arrival(3, 100, marks=6), RequestArrived(100, 0, 240.0, 1, 9, None, True, True)),
+        (request_arrived(3, 99), RequestArrived(99, 0, 240.0, 1, 9, 12.0, False, False)),
+        (request_arrived(3, 100, flags=6), RequestArrived(100, 0, 240.0, 1, 9, None, True, True)),
         (
-            record(SETTLED, struct.pack("<IIH6sHdBB2f", 3, 99, 1, ENDPOINT_A, 200, 18.5, 1, 2, 0.5, 3.0)),
+            record(
+                ATTEMPT_ENDED, struct.pack("<IIH6sHdBB2f", 3, 99, 1, ENDPOINT_A, 200, 18.5, 1, 2, 0.5, 3.0)
+            ),
             AttemptEnded(99, 1, ENDPOINT_A, Outcome.OK, 18.5, True, (0.5, 3.0)),
         ),
         (
-            record(FIRST, struct.pack("<IIHd6s", 3, 99, 1, 18.5, ENDPOINT_A)),
+            record(RESPONSE_STARTED, struct.pack("<IIHd6s", 3, 99, 1, 18.5, ENDPOINT_A)),
             ResponseStarted(99, 1, ENDPOINT_A, 18.5),
         ),
-        (record(VANISHED, struct.pack("<II", 3, 99)), RequestAbandoned(99)),
-        (record(FIRED, struct.pack("<IQ", 3, 77)), TimerFired(77)),
+        (record(REQUEST_ABANDONED, struct.pack("<II", 3, 99)), RequestAbandoned(99)),
+        (record(TIMER_FIRED, struct.pack("<IQ", 3, 77)), TimerFired(77)),
         (
-            record(PING_RESULT, struct.pack("<I6sHdB", 3, ENDPOINT_B, 521, 1.5, 0)),
+            record(HEALTH_CHECK_ENDED, struct.pack("<I6sHdB", 3, ENDPOINT_B, 521, 1.5, 0)),
             HealthCheckEnded(ENDPOINT_B, Outcome.CONNECT_FAILED, 1.5),
         ),
-        (record(DATAGRAM, struct.pack("<IHH", 3, 2, 4) + b"hi 7"), PeerMessage(2, b"hi 7")),
-        (power_off(3), InstanceKilled()),
+        (record(PEER_MESSAGE, struct.pack("<IHH", 3, 2, 4) + b"hi 7"), PeerMessage(2, b"hi 7")),
+        (instance_killed(3), InstanceKilled()),
     ],
     ids=lambda value: None if isinstance(value, bytes) else type(value).__name__,
 )
@@ -123,7 +125,9 @@
 
 
 def test_records_of_one_batch_are_decoded_in_order() -> None:
-    records = decode(arrival(3, 99), record(VANISHED, struct.pack("<II", 3, 99)), arrival(4, 100))
+    records = decode(
+        request_arrived(3, 99), record(REQUEST_ABANDONED, struct.pack("<II", 3, 99)), request_arrived(4, 100)
+    )
     assert [(instance_id, type(decoded)) for instance_id, decoded in records] == [
         (3, RequestArrived),
         (3, RequestAbandoned),
@@ -133,7 +137,7 @@
 
 def test_start_record_carries_seed_and_settings() -> None:
     classes = (RequestClass("", latency_objective_ms=1000.0, deadline_ms=3000.0),)
-    ((instance_id, start),) = decode(enlist(6))
+    ((instance_id, start),) = decode(instance_started(6))
     assert instance_id == 6
     assert isinstance(start, InstanceStarted)
     assert start.seed == SEED
@@ -155,7 +159,7 @@
     ],
 )
 def test_status_is_decoded_as_outcome(status: int, outcome: Outcome) -> None:
-    ((_, event),) = decode(settled(3, 9, status))
+    ((_, event),) = decode(attempt_ended(3, 9, status))
     assert isinstance(event, AttemptEnded)
     assert event.outcome is outcome
 
@@ -164,12 +168,12 @@
     a = Endpoint(ENDPOINT_A, EndpointState.SERVING, 1.5, 2, 1, 7, 0.0)
     b = Endpoint(ENDPOINT_B, EndpointState.DRAINING, 1.5, 2, 1, 7, 8.0)
     records = decode(
-        table(0, row(ENDPOINT_A)),
-        sync(1, 0, CACHED),
-        table(0, row(ENDPOINT_B, DRAINING, started_ms=8.0)),
-        sync(2, 0, FULL),
-        sync(1, 0, DELTA),
-        sync(1, 9, FAILED),
+        endpoint_table(0, endpoint_row(ENDPOINT_A)),
+        list_update(1, 0, CACHED),
+        endpoint_table(0, endpoint_row(ENDPOINT_B, DRAINING, started_ms=8.0)),
+        list_update(2, 0, FULL),
+        list_update(1, 0, DELTA),
+        list_update(1, 9, FAILED),
     )
     assert records == [
         (1, EndpointListUpdate(EndpointListKind.CACHED, (a,), 41)),
@@ -183,14 +187,14 @@
     ("encoded", "location", "problem"),
     [
         (record(99, b""), "record 99", "unknown"),
-        (record(VANISHED, b"\x01"), "record 6", "cannot be read"),
-        (settled(4, 5, 777), "record 5", "777"),
-        (sync(4, 3, CACHED), "record 2", "cannot be read: 3"),
-        (table(16), "record 11", "table number 16 is out of range"),
-        (table(0, row(ENDPOINT_A)[:-1]), "record 11", "shorter than its number of rows"),
-        (record(DATAGRAM, struct.pack("<IHH", 3, 2, 4) + b"hi"), "record 9", "cut short"),
-        (enlist(4, settings_text({"profiles.count": "0"})), "settings", "profiles.count"),
-        (arrival(4, 1)[:-3], "record 3", "cut short"),
+        (record(REQUEST_ABANDONED, b"\x01"), "record 6", "cannot be read"),
+        (attempt_ended(4, 5, 777), "record 5", "777"),
+        (list_update(4, 3, CACHED), "record 2", "cannot be read: 3"),
+        (endpoint_table(16), "record 11", "table number 16 is out of range"),
+        (endpoint_table(0, endpoint_row(ENDPOINT_A)[:-1]), "record 11", "shorter than its number of rows"),
+        (record(PEER_MESSAGE, struct.pack("<IHH", 3, 2, 4) + b"hi"), "record 9", "cut short"),
+        (instance_started(4, settings_text({"profiles.count": "0"})), "settings", "profiles.count"),
+        (request_arrived(4, 1)[:-3], "record 3", "cut short"),
     ],
 )
 def test_malformed_record_names_location_and_problem(encoded: bytes, location: str, problem: str) -> None:
