--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -81,7 +81,12 @@
     """
 
     def __init__(self, context: NodeContext) -> None:
+        settings = context.settings
+        tiers_left = settings.tier_count - settings.tier_index
         self._context = context
+        self._objective_target_ratio = CONGESTION.target_ratio * tiers_left / settings.tier_count
+        self._averaging_ms = AVERAGING.objectives * context.objective_ms
+        self._peak_decay_ms = PEAK_RATE_DECAY_OBJECTIVES * context.objective_ms
         self.latency = LatencyEstimator()
         self.class_latencies = [LatencyEstimator() for _ in context.settings.classes]
         self.congestion = 0.0
@@ -114,8 +119,7 @@
 
     def peak_fade(self) -> float:
         """The part of the best rate that is left; it decays with time, as an overload brings no responses."""
-        time_constant = PEAK_RATE_DECAY_OBJECTIVES * self._context.objective_ms
-        return math.exp(-(self._context.now - self._peak_at) / time_constant)
+        return math.exp(-(self._context.now - self._peak_at) / self._peak_decay_ms)
 
     def record_answer(self, latency: float) -> None:
         """Record the latency of a response, for the means, the baseline and the best rate."""
@@ -141,8 +145,7 @@
     def record_ratio(self, ratio: float) -> None:
         """Record a latency in latency objectives, and the attempts in flight, for the congestion."""
         now = self._context.now
-        allowed_ms = AVERAGING.objectives * self._context.objective_ms
-        factor = (now - self._ratio_at) / allowed_ms
+        factor = (now - self._ratio_at) / self._averaging_ms
         self._ratio_at = now
         factor = min(max(factor, AVERAGING.min_factor), AVERAGING.max_factor)
         self._factor += AVERAGING.max_factor * (factor - self._factor)
@@ -160,12 +163,10 @@
         self._baseline_ratio += BASELINE.follow_factor * (self._mean_ratio - self._baseline_ratio)
 
     def _target_ratio(self) -> float:
-        settings = self._context.settings
-        target = CONGESTION.target_ratio * (settings.tier_count - settings.tier_index) / settings.tier_count
-        if self.baseline_latency < math.inf:
-            # Where even the baseline is near the target, the target alone would shed load without end.
-            target = max(target, CONGESTION.target_baselines * self._baseline_ratio)
-        return target
+        if self.baseline_latency == math.inf:
+            return self._objective_target_ratio
+        # Where even the baseline is near the target, the target alone would shed load without end.
+        return max(self._objective_target_ratio, CONGESTION.target_baselines * self._baseline_ratio)
 
     def _latency_bound(self) -> float:
         # Few responses show congestion late, when servers are overloaded already: they get a lower bound.
