--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -55,7 +55,7 @@
 
     def __init__(self, settings: Settings) -> None:
         rates = [tenant.quota_per_s / settings.node_count for tenant in settings.tenants]
-        self._buckets = [] if settings.tier_index else [TokenBucket(rate, rate) for rate in rates]
+        self._buckets = [] if settings.tier_index else [TokenBucket(rate) for rate in rates]
 
     def admits(self, tenant: int, now: float) -> bool:
         """Whether a request is within its tenant's quota; counts the request."""
