--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -217,7 +217,7 @@
         (
             Edit(
                 "load_balancer/policy/slow_start.py",
-                "return record.slow_start_tokens >= min(work, most)",
+                "return budget.tokens >= min(work, max_tokens)",
                 "return True",
             ),
         ),
