--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The pages name only what exists."""
+"""The pages name only what exists, and the architecture page lists every module."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
     is_end_of_any,
     link_targets,
     listed_modules,
+    modules_of_package,
     paths_in_code_spans,
     source_file,
     symbols_of_races,
 )
 
-PAGES = ("docs/design.md", "docs/races.md", "docs/operations.md", "README.md", "DEVELOPERS.md")
+ARCHITECTURE = "docs/architecture.md"
+PAGES = (ARCHITECTURE, "docs/design.md", "docs/races.md", "docs/operations.md", "README.md", "DEVELOPERS.md")
 
 
 @pytest.mark.parametrize("page", PAGES)
@@ -37,6 +39,11 @@
     assert not missing, f"{page} links to what does not exist: {missing}"
 
 
+def test_architecture_page_lists_every_module() -> None:
+    missing = sorted(modules_of_package() - listed_modules((ROOT / ARCHITECTURE).read_text()))
+    assert not missing, f"{ARCHITECTURE} does not list: {missing}"
+
+
 def test_functions_and_tests_on_races_page_exist() -> None:
     missing = sorted(
         symbol for symbol in symbols_of_races((ROOT / "docs" / "races.md").read_text()) if not _exists(symbol)
