--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -4,7 +4,7 @@
 
 from load_balancer.estimation.rates import TokenBucket
 from load_balancer.settings import Settings
-from load_balancer.state.records import Request
+from load_balancer.state.request_records import Request
 
 
 class QueueParameters(NamedTuple):
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -23,8 +23,8 @@
 from load_balancer.settings import RequestClass, Settings
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
-from load_balancer.state.records import Request
 from load_balancer.state.request_queue import RequestQueue
+from load_balancer.state.request_records import Request
 from load_balancer.state.timer_queue import TimerKind
 
 WORK_SMOOTHING_FACTOR = 0.02
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -7,7 +7,7 @@
 from load_balancer.policy.congestion import CONGESTION, CongestionMonitor
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.state.context import NodeContext
-from load_balancer.state.records import Request
+from load_balancer.state.request_records import Request
 
 
 class CapacityParameters(NamedTuple):
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -10,7 +10,7 @@
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
-from load_balancer.state.records import Attempt, Request
+from load_balancer.state.request_records import Attempt, Request
 
 LATE_COOLDOWN_FACTOR = 2.0
 """An endpoint that sent nothing else during a late attempt cools down for this multiple of its time."""
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -9,7 +9,7 @@
 from load_balancer.policy.selection import permitted
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
-from load_balancer.state.records import Request
+from load_balancer.state.request_records import Request
 from load_balancer.state.timer_queue import TimerKind
 
 
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -13,7 +13,7 @@
 from load_balancer.settings import DeduplicationScope, Idempotency
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
-from load_balancer.state.records import Request
+from load_balancer.state.request_records import Request
 
 
 class SelectionParameters(NamedTuple):
--- a/load_balancer/state/context.py
+++ b/load_balancer/state/context.py
@@ -9,7 +9,7 @@
 from load_balancer.events import EndpointId, RequestId
 from load_balancer.settings import Settings
 from load_balancer.state.endpoint_records import EndpointTable
-from load_balancer.state.records import RequestTable
+from load_balancer.state.request_records import RequestTable
 from load_balancer.state.timer_queue import Timer, TimerKind, TimerQueue
 
 
--- a/load_balancer/state/request_queue.py
+++ b/load_balancer/state/request_queue.py
@@ -6,7 +6,7 @@
 from bisect import insort
 
 from load_balancer.state.context import NodeContext
-from load_balancer.state.records import Request
+from load_balancer.state.request_records import Request
 from load_balancer.state.timer_queue import TimerKind
 
 
--- a/tests/proxy/test_request_guard.py
+++ b/tests/proxy/test_request_guard.py
@@ -104,7 +104,7 @@
 
 @async_test
 async def test_rejection_that_a_faulty_policy_decides_is_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("load_balancer.state.records.Request.repeatable_anywhere", lambda _: True)
+    monkeypatch.setattr("load_balancer.state.request_records.Request.repeatable_anywhere", lambda _: True)
     async with StubServer([reset]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         assert (await (await environment.connect_client()).fetch("book")).status == 502
         assert environment.node.rules.violations == {Rule.REJECTED_AFTER_RUN: 1}
