--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -104,7 +104,7 @@
         monitor = self._monitor
         baseline = monitor.baseline_latency
         if baseline == math.inf:
-            baseline = monitor.least_mean_latency
+            baseline = monitor.lowest_mean_latency
         in_work = 0.0
         if baseline < math.inf:
             in_work = monitor.answer_rate.per_ms(self._context.now) * baseline
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -74,7 +74,7 @@
         target_pressure: latencies against their target alone.
         mean_latency: the mean over those responses that the congestion is averaged over.
         baseline_latency: the mean latency when nothing queues, infinite until it is known.
-        least_mean_latency: the lowest mean so far, which replaces the baseline until that is known.
+        lowest_mean_latency: the lowest mean so far, which replaces the baseline until that is known.
         mean_in_flight: the mean number of attempts in flight.
         answer_rate: the rate of responses.
         peak_rate: the best recent rate of responses, per millisecond.
@@ -93,7 +93,7 @@
         self.target_pressure = 0.0
         self.mean_latency = 0.0
         self.baseline_latency = math.inf
-        self.least_mean_latency = math.inf
+        self.lowest_mean_latency = math.inf
         self.mean_in_flight = 0.0
         self.answer_rate = DecayingRate(context.objective_ms)
         self.peak_rate = 0.0
@@ -133,7 +133,7 @@
         self._long_mean_latency = mean
         self.answer_rate.add(1.0, now)
         if self._answers >= BASELINE.min_answers:
-            self.least_mean_latency = min(self.least_mean_latency, mean)
+            self.lowest_mean_latency = min(self.lowest_mean_latency, mean)
         faded_peak_rate = self.peak_rate * self.peak_fade()
         self._peak_at = now
         if self.baseline_known():
--- a/load_balancer/proxy/discovery/endpoint_listing.py
+++ b/load_balancer/proxy/discovery/endpoint_listing.py
@@ -55,7 +55,6 @@
         return EndpointListKind.FULL if self.complete else EndpointListKind.DELTA
 
 
-@dataclass(frozen=True, slots=True)
 class ListingReader:
     """Reads endpoint lists; translates the names of zones and machine types into the policy's indices.
 
@@ -64,8 +63,9 @@
         machine_types: the names of the machine types, in the order of the settings.
     """
 
-    zones: tuple[str, ...]
-    machine_types: tuple[str, ...]
+    def __init__(self, zones: tuple[str, ...], machine_types: tuple[str, ...]) -> None:
+        self.zones = zones
+        self.machine_types = machine_types
 
     def read(self, raw: Any) -> EndpointListing:
         """Translate one decoded JSON value.
--- a/load_balancer/proxy/downstream/eviction.py
+++ b/load_balancer/proxy/downstream/eviction.py
@@ -99,9 +99,9 @@
     if phase is CLOSING:
         return not connection.transport.has_unsent_output()
     if phase is IDLE:
-        waited_enough = connection.brought_request or waited_s >= unused_grace_s
+        grace_is_over = connection.brought_request or waited_s >= unused_grace_s
         # A request that lies unread counts as accepted.
-        return waited_enough and not connection.has_unread_input()
+        return grace_is_over and not connection.has_unread_input()
     return waited_s > EVICTABLE_AFTER_S
 
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -23,7 +23,7 @@
 from tests.policy.samples import IDEMPOTENT
 from tests.policy.simulated_host import SimulatedHost, make_host
 
-SUBSET_LEAST, SUBSET_MOST = 6, 12
+SUBSET_MIN, SUBSET_MOST = 6, 12
 ENDPOINTS = 60
 NODES = 400
 
@@ -163,7 +163,7 @@
     met: Counter[EndpointId] = Counter()
     for index in range(NODES):
         subset = Node(index).subset()
-        assert SUBSET_LEAST <= len(subset) <= SUBSET_MOST
+        assert SUBSET_MIN <= len(subset) <= SUBSET_MOST
         assert {number_of(endpoint) % 2 for endpoint in subset} == {0, 1}
         met.update(subset)
     mean = sum(met.values()) / ENDPOINTS
@@ -193,7 +193,7 @@
     for endpoint in sorted(gone):
         node.drain(endpoint)
     left = node.subset()
-    assert SUBSET_LEAST <= len(left) <= SUBSET_MOST and not left & gone
+    assert SUBSET_MIN <= len(left) <= SUBSET_MOST and not left & gone
 
 
 def test_requests_leave_a_subset_that_rejects_them() -> None:
