--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -35,7 +35,7 @@
     """Run one node.
 
     Returns:
-        The exit code: 0 after SIGTERM, 2 for a bad configuration, which one line on standard error describes.
+        The exit code: 0 after SIGTERM or SIGINT, 2 for a bad configuration, with one line on standard error.
     """
     # The default handler would end the process.  ConfigurationReload.after_start() follows a signal that is
     # ignored here.
--- a/load_balancer/policy/circuit_breakers.py
+++ b/load_balancer/policy/circuit_breakers.py
@@ -64,7 +64,7 @@
 
 
 class CircuitBreakers:
-    """The circuit breakers of each class at each endpoint; alone in writing their states."""
+    """The circuit breakers of each class at each endpoint; the only writer of their states."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
@@ -117,7 +117,7 @@
 
     def _open(self, record: EndpointRecord, class_index: int, peer_rate: float) -> None:
         breaker, request_class = record.breakers[class_index], self._context.settings.classes[class_index]
-        # Where a failed trial is a request lost for good, trials are far apart from the start.
+        # A failed trial of a class that may not be repeated loses a request: trials are always far apart.
         non_idempotent = request_class.idempotency is Idempotency.NON_IDEMPOTENT
         repetitions = PAUSES.max_doublings if non_idempotent else breaker.consecutive_openings
         pause_ms = draw_pause_ms(self._context, repetitions)
--- a/load_balancer/policy/endpoint_limits.py
+++ b/load_balancer/policy/endpoint_limits.py
@@ -27,7 +27,7 @@
 
 
 class EndpointLimits:
-    """The concurrency limits of endpoints; alone in writing their states.
+    """The concurrency limits of endpoints; the only writer of their states.
 
     Without a limit, thousands of requests a second are sent to full servers, each at the cost of a handshake.
     """
--- a/load_balancer/policy/failure_detection.py
+++ b/load_balancer/policy/failure_detection.py
@@ -63,7 +63,7 @@
 
 
 def draw_pause_ms(context: NodeContext, repetitions: int) -> float:
-    """The pause of what has been excluded so often before, with jitter."""
+    """The length of an exclusion after this number of earlier ones, with jitter."""
     units = min(PAUSES.max_units, PAUSES.first_units * 2.0 ** min(repetitions, PAUSES.max_doublings))
     warm_up_ms = context.settings.warm_up_ms or PAUSES.default_unit_ms
     unit_ms = max(warm_up_ms, PAUSES.min_unit_objectives * context.objective_ms)
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -16,14 +16,14 @@
 """An endpoint that sent nothing else during a late attempt cools down for this multiple of its time."""
 
 COST_HINT_WEIGHT = 0.5
-"""The part of a latency that is in proportion to the request's work, as its cost hint foretold it."""
+"""The part of a latency that is proportional to the work that the request's cost hint predicts."""
 
 _FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED_RESPONSE)
 _GIVEN_UP = (Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
 class OutcomeRecorder:
-    """Passes each outcome to the parts that learn from it; alone in writing ``last_response_at``."""
+    """Passes each outcome to the parts that learn from it; the only writer of ``last_response_at``."""
 
     def __init__(
         self,
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -26,7 +26,7 @@
 
 
 class SlowStart:
-    """Bounds the work of warming servers by the answered work of warm ones; alone in writing their budgets.
+    """Bounds the work of warming servers by the answered work of warm ones; the only writer of their budgets.
 
     Work is in multiples of the mean request's, rates are in work per millisecond.
     """
@@ -83,7 +83,7 @@
     def min_rate(self) -> float:
         """The rate that a warming server gets in any case: zero while there is a warm server.
 
-        Without a warm server a new node has no answered work to go by.  Then all nodes together may send one
+        Without a warm server a new node knows no rate of answered work.  Then all nodes together may send one
         request in an overload window; as answers return to the budget, the rate grows as the servers answer.
         """
         settings = self._context.settings
--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -10,8 +10,8 @@
 DOWNSTREAM_FRACTION = 0.42  # of the remainder
 MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: clients with requests may hold as many connections
 MIN_UPSTREAM_FRACTION = 1 / 3  # of the remainder, under a tight limit
-# Of the limit on downstream connections: as many more are accepted, and answered 503 while no connection can
-# be evicted.
+# Of the limit on downstream connections: this many connections beyond it are accepted, and answered 503 while
+# no connection can be evicted.
 OVERFLOW_FRACTION = 0.1
 MIN_OVERFLOW = 2
 
--- a/load_balancer/proxy/discovery/endpoint_discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -53,7 +53,7 @@
     UNSUBSCRIBED = auto()
     """No watch has been opened yet."""
     WATCHING = auto()
-    """One watch is kept, be it up or being opened."""
+    """One watch is kept: it is open or being opened."""
     MOVING = auto()
     """A successor is being opened at the new address; the old watch is kept as long as it works."""
     MOVE_BACKOFF = auto()
@@ -126,7 +126,7 @@
 
     @property
     def watch(self) -> DiscoveryWatch | None:
-        """The watch that is kept, be it up or being opened."""
+        """The watch that is kept: it is open or being opened."""
         return self._watch
 
     @property
--- a/load_balancer/proxy/discovery/watch.py
+++ b/load_balancer/proxy/discovery/watch.py
@@ -18,9 +18,9 @@
 log = logging.getLogger(__name__)
 
 HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines that discovery sends as long as nothing changes
-# What a silent watch misses counts as notified 6 s after it fell silent, also where the watches after it
-# fail.  A missed heartbeat and one busy second leave three seconds.  Within these, two new watches may fail,
-# each with its response timeout and the reconnect delay, before the third must deliver.
+# The protocol counts a change that a silent watch misses as notified 6 s after the silence began, even if the
+# next watches fail.  A missed heartbeat and one busy second leave three seconds.  Within these, two new
+# watches may fail, each with its response timeout and reconnect delay, before the third must deliver.
 SILENCE_TIMEOUT_S = HEARTBEAT_INTERVAL_S + 1.0
 OBJECT_TIMEOUT_S = 1.0  # discovery sends an object at once: one that does not continue has been cut off
 
--- a/load_balancer/proxy/downstream/connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -28,7 +28,7 @@
 
 MAX_PIPELINED_REQUESTS = 16  # open requests on one connection; clients usually have one
 PAUSE_READING_AT = 2  # open requests: nothing further is read, and what arrives waits in the network
-# Input that is not acceptable is answered after the requests before it.  They have so long for a response.
+# Input that is not acceptable is answered after the requests before it, which have this long.
 OPEN_REQUESTS_TIMEOUT_S = 2.25
 # For the client to read a last response: closing while input is unread resets the connection at once.
 LINGER_S = 0.5
@@ -42,7 +42,7 @@
         """Queue the connection for eviction by its present priority, behind the others."""
 
     def refresh_eviction(self, connection: DownstreamConnection) -> None:
-        """Do the same if its priority has changed; else it keeps its place in the queue."""
+        """Queue the connection anew if its priority has changed; else it keeps its place."""
 
 
 class ConnectionOwner(typing.Protocol):
@@ -246,7 +246,7 @@
     # Responses out.
 
     def flush(self) -> None:
-        """Send responses in order, up to the first that is not known yet."""
+        """Send the responses that are known, in order; stop before the first that is not."""
         if not self.transport.is_attached:
             return
         responses = self._responses
@@ -266,7 +266,7 @@
         """Answer input that is not acceptable, after the requests before it, and close.
 
         Those have OPEN_REQUESTS_TIMEOUT_S for their responses.  Then they get the same status, as the
-        client is owed its error by then.
+        protocol requires the error by then.
 
         Args:
             status: the status of the response.
--- a/load_balancer/proxy/downstream/connection_table.py
+++ b/load_balancer/proxy/downstream/connection_table.py
@@ -79,7 +79,7 @@
         self._eviction_queues.enqueue(connection, priority)
 
     def refresh_eviction(self, connection: DownstreamConnection) -> None:
-        """Do the same if its priority has changed; else it keeps its place in the queue."""
+        """Queue the connection anew if its priority has changed; else it keeps its place."""
         if self._eviction_queues.priority_of(connection) != eviction_priority(connection):
             self.update_eviction(connection)
 
--- a/load_balancer/proxy/downstream/eviction.py
+++ b/load_balancer/proxy/downstream/eviction.py
@@ -26,7 +26,7 @@
 class EvictionPriority(IntEnum):
     """The order in which connections are closed to admit a new one, the lowest value first.
 
-    Without it clients with requests would be refused while the table is full of connections of no use.
+    Without eviction, clients with requests would be refused while unused connections fill the table.
     """
 
     FINISHED = 0
--- a/load_balancer/proxy/downstream/timeouts.py
+++ b/load_balancer/proxy/downstream/timeouts.py
@@ -11,13 +11,13 @@
 
 # For a request to arrive completely: the first one of a connection, and a later one.  A client that connects
 # usually has a request.  Where none is complete by then the connection is answered or closed, which with
-# the check interval and the network's time is within the 3 s that the client is owed.
+# the check interval and the network's time is within the 3 s that the protocol allows.
 FIRST_REQUEST_TIMEOUT_S = 2.25
 REQUEST_TIMEOUT_S = 10.0
-# For the next piece of a request: a client that stops sending is owed its answer within 3 s, too.
+# For the next piece of a request: a client that stops sending also has to be answered within 3 s.
 STALLED_REQUEST_TIMEOUT_S = 2.25
 
-# Between requests.  A connection that brought no request for the servers is closed as soon as the protocol
+# Between requests.  A connection that brought no request for the endpoints is closed as soon as the protocol
 # allows it, as clients keep such connections open for good; one that did bring some saves a handshake.
 UNUSED_IDLE_TIMEOUT_S = 2.25
 IDLE_TIMEOUT_S = 60.0
--- a/load_balancer/proxy/request_handler.py
+++ b/load_balancer/proxy/request_handler.py
@@ -70,7 +70,7 @@
     # Acceptance.
 
     def accept(self, parsed: ParsedRequest, slot: ResponseSlot) -> None:
-        """Accept a valid request: from here on its client is owed one response.
+        """Accept a valid request: from here on its client must get one response.
 
         Raises:
             HttpMessageError: a request with the same id is open.
