--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -145,7 +145,9 @@
         return [one.headers["x-request-id"] for endpoint in self.endpoints for one in endpoint.received]
 
 
-@pytest.mark.parametrize(("sockets", "hedging"), [(64, False), (96, False), (256, False), (64, True)])
+@pytest.mark.parametrize(
+    ("sockets", "hedging"), [(64, False), (96, False), (256, False), (64, True), (96, True), (256, True)]
+)
 @async_test
 async def test_idle_clients_leave_descriptors_for_discovery_and_requests(
     sockets: int, hedging: bool, tmp_path: Path
