--- a/tests/simulator/frames.py
+++ b/tests/simulator/frames.py
@@ -1,9 +1,8 @@
-"""Frames of the simulator's wire for tests, packed and read without the package's codec."""
+"""Frames of the simulator's wire for tests, packed without the package's codec."""
 
 from __future__ import annotations
 
 import struct
-from typing import NamedTuple
 
 ENDPOINT_A = bytes.fromhex("0a124a078b13")
 ENDPOINT_B = bytes.fromhex("0a9011f2b413")
@@ -38,13 +37,6 @@
 }
 
 
-class SentRecord(NamedTuple):
-    """A record of a reply: its code, and its fields as bytes."""
-
-    code: int
-    fields: bytes
-
-
 def settings_values(changes: dict[str, str | None] | None = None) -> dict[str, str]:
     """The required settings with these changes; None leaves a setting out."""
     values = {**REQUIRED_SETTINGS, **(changes or {})}
@@ -103,23 +95,3 @@
     """The end of attempt 0 of a request at endpoint A after 1 ms, without a load report."""
     fields = struct.pack("<IIH6sHdBB", instance_id, request_id, 0, ENDPOINT_A, status, 1.0, finished, 0)
     return record(ATTEMPT_ENDED, fields)
-
-
-def read_replies(output: bytes) -> list[list[SentRecord]]:
-    """The records of each reply frame; fails where a header does not fit the bytes."""
-    replies: list[list[SentRecord]] = []
-    position = 0
-    while position < len(output):
-        count, size = struct.unpack_from("<II", output, position)
-        position += 8
-        end = position + size
-        records: list[SentRecord] = []
-        while position < end:
-            code, length = struct.unpack_from("<BI", output, position)
-            fields_start = position + 5
-            position = fields_start + length
-            records.append(SentRecord(code, output[fields_start:position]))
-        assert position == end
-        assert len(records) == count
-        replies.append(records)
-    return replies
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -17,7 +17,6 @@
     INSTANCE_FAULT,
     REQUEST_ABANDONED,
     SEND_ATTEMPT,
-    SentRecord,
     attempt_ended,
     batch,
     endpoint_row,
@@ -25,20 +24,21 @@
     instance_killed,
     instance_started,
     list_update,
-    read_replies,
     record,
     request_arrived,
     settings_text,
 )
+from tools.adapter_protocol import read_replies
 
 ADAPTER_MODULE = "load_balancer.simulator.adapter"
 
 
-def serve_batches(*batches: bytes) -> list[list[SentRecord]]:
-    """The replies of an adapter in this process to these batches."""
+def serve_batches(*batches: bytes) -> list[list[tuple[int, bytes]]]:
+    """The replies of an adapter in this process to these batches: the code and the fields of each record."""
     sink = BytesIO()
     serve(BytesIO(b"".join(batches)), sink)
-    return read_replies(sink.getvalue())
+    replies = read_replies(sink.getvalue())
+    return [[(action.code, action.fields) for action in reply.actions] for reply in replies]
 
 
 def run_adapter(raw: bytes) -> subprocess.CompletedProcess[bytes]:
