--- a/load_balancer/proxy/upstream/connection_opener.py
+++ b/load_balancer/proxy/upstream/connection_opener.py
@@ -1,7 +1,8 @@
-"""Opens connections to endpoints for the requests that wait for one.
+"""Opens connections to endpoints for the requests that wait for a connection.
 
-A connection may come up late, as when the first packet of its handshake was lost.  Another one is then raced
-against it: whichever comes up first carries the request, and the others are kept for later requests.
+Establishing a connection may take long, for example when the first packet of its handshake was lost.  Another
+connection is then opened in parallel: the first connection that is established carries the request, and the
+others are kept for later requests.
 """
 
 from __future__ import annotations
@@ -17,25 +18,25 @@
 from load_balancer.proxy.upstream.request import UpstreamRequest
 from load_balancer.proxy.upstream.waiting_request import WaitingRequest, WaitingRequests
 
-# Of the connect timeout: a connection that takes longer is late, and another is raced against it.
-RACE_DELAY_FRACTION = 1 / 6
-MAX_RACED_CONNECTIONS = 3  # for one request
-# A handshake whose first packet was lost completes when that is sent again, after a second (RFC 6298).  The
-# connection is then still of use for a later request.
+# Fraction of the connect timeout after which another connection is opened in parallel.
+PARALLEL_CONNECT_DELAY_FRACTION = 1 / 6
+MAX_PARALLEL_CONNECTS = 3  # connections opened in parallel for one request
+# Limit on opening one connection.  When the first packet of a handshake is lost, it is sent again after one
+# second (RFC 6298) and the handshake can complete.  The connection is then still useful for a later request.
 MAX_CONNECT_S = 2.0
 
 log = logging.getLogger(__name__)
 
 
 class ConnectionOpener:
-    """Opens connections, and owns the requests that wait for them."""
+    """Opens connections, and holds the requests that wait for them."""
 
     def __init__(self, connect_timeout_s: float, limit: ConnectionLimit) -> None:
-        """Start with none.
+        """Create an opener with no waiting requests.
 
         Args:
             connect_timeout_s: how long a request waits for a connection, in seconds.
-            limit: counts the connections that are being opened.
+            limit: limits the number of connections, and counts those that are being opened.
         """
         self._loop = asyncio.get_running_loop()
         self._connect_timeout_s = connect_timeout_s
@@ -43,11 +44,12 @@
         self._waiting = WaitingRequests()
 
     def open_for(self, pool: EndpointPool, request: UpstreamRequest) -> None:
-        """Open a connection for a request, which it carries as soon as one is up.
+        """Open a connection for a request, which is written as soon as a connection is established.
 
-        The limit must have capacity.  The request ends with CONNECT_FAILED where no connection comes up in
-        time or the endpoint refuses, and with NOT_SENT where nobody waits for it any more or the endpoint's
-        process has been replaced by then.
+        The caller must have checked that the connection limit allows one more connection.  The request ends
+        with CONNECT_FAILED if no connection is established in time or the endpoint refuses the connection.
+        It ends with NOT_SENT if its response is no longer wanted or if the endpoint's process has been
+        replaced by the time that a connection is established.
         """
         waiting = WaitingRequest(pool, request)
         waiting.begin_connecting(self._connect_timeout_s, self._give_up)
@@ -55,20 +57,22 @@
         self._start_connect(waiting)
 
     def close(self) -> None:
-        """Stop opening connections.  The requests that wait are left to their deadline timers."""
+        """Stop opening connections; waiting requests end later, when their deadline timers expire."""
         self._limit.cancel_connects()
         self._waiting.finish_all()
 
-    # The race.
+    # Parallel connects.
 
     def _start_connect(self, waiting: WaitingRequest) -> None:
         waiting.connects += 1
         self._limit.add_connect(self._loop.create_task(self._connect(waiting)))
-        if waiting.connects < MAX_RACED_CONNECTIONS:
-            waiting.schedule_race(RACE_DELAY_FRACTION * self._connect_timeout_s, self._start_race)
+        if waiting.connects < MAX_PARALLEL_CONNECTS:
+            waiting.schedule_parallel_connect(
+                PARALLEL_CONNECT_DELAY_FRACTION * self._connect_timeout_s, self._start_parallel_connect
+            )
 
-    def _start_race(self, waiting: WaitingRequest) -> None:
-        """Start another connection, as the last one is late."""
+    def _start_parallel_connect(self, waiting: WaitingRequest) -> None:
+        """Open another connection in parallel, because the previous one is not established yet."""
         if waiting.needs_connection() and self._limit.make_capacity():
             self._start_connect(waiting)
 
@@ -80,7 +84,7 @@
                 _, connection = await self._loop.create_connection(
                     lambda: UpstreamConnection(pool.name, pool), host, port
                 )
-        except OSError as error:  # TimeoutError is one
+        except OSError as error:  # includes TimeoutError
             if local_errors.is_local(error):
                 self._back_off(waiting, error)
             else:
@@ -92,7 +96,10 @@
             self._give_up(waiting)
 
     def _on_connected(self, pool: EndpointPool, connection: UpstreamConnection) -> None:
-        """Let the connection carry the request that has waited longest, else keep it for a later one."""
+        """Write the request that has waited longest to the connection.
+
+        If no waiting request can be written, keep the connection for later requests.
+        """
         while (waiting := self._waiting.first(pool)) is not None:
             self._waiting.finish(waiting)
             if waiting.send_on(connection):
@@ -100,18 +107,21 @@
         pool.connection_released(connection)
 
     def _give_up(self, waiting: WaitingRequest) -> None:
-        """End a request for which no connection came up, if it still waits for one."""
-        if not waiting.is_over:
+        """End a request with CONNECT_FAILED, if it is still waiting for a connection."""
+        if not waiting.is_finished:
             self._waiting.finish(waiting)
             waiting.request.end(Outcome.CONNECT_FAILED)
 
     # Local errors.
 
     def _back_off(self, waiting: WaitingRequest, error: OSError) -> None:
-        """Connect again after a backoff, within the request's own time; the endpoint is not to blame."""
-        if waiting.is_over:
+        """Schedule another connect after a local error, which says nothing about the endpoint.
+
+        The deadline of the request does not change.
+        """
+        if waiting.is_finished:
             return
-        waiting.request.mark_held_up()
+        waiting.request.mark_connect_failed_locally()
         if waiting.local_failures == 0:
             log.warning("local_connect_failed endpoint=%s problem=%s", waiting.pool.name, error)
         waiting.begin_backoff(local_errors.retry_delay_s(waiting.local_failures), self._connect_again)
--- a/load_balancer/proxy/upstream/request.py
+++ b/load_balancer/proxy/upstream/request.py
@@ -1,7 +1,8 @@
-"""One request to an endpoint, from its start to its one outcome.
+"""A request to an endpoint, from its start to its single outcome.
 
-Nothing is sent twice.  A request that ends after its bytes were handed to a socket may have run; only one
-that ended before is reported as ``Outcome.CONNECT_FAILED`` or ``Outcome.NOT_SENT``.
+A request is never sent twice.  If it ends after its bytes were written to a socket, the endpoint may have
+processed it.  ``Outcome.CONNECT_FAILED`` and ``Outcome.NOT_SENT`` are reported only for a request that ended
+before that.
 """
 
 from __future__ import annotations
@@ -17,79 +18,85 @@
 if TYPE_CHECKING:
     from load_balancer.proxy.upstream.connection import UpstreamConnection
 
-# A request with less time left is not written: the endpoint could not answer within it.  The X-Deadline
-# header and the loop's clock have a resolution of one millisecond.
+# A request with less time left is not written, because the endpoint could not respond in time.  The
+# X-Deadline header and the clock of the event loop have a resolution of one millisecond.
 MIN_TIME_LEFT_S = 0.002
 
 
 class OutboundRequest(ABC):
-    """What is sent to an endpoint, an attempt or a health check, and the receiver of its outcome."""
+    """The content of an attempt or a health check to an endpoint, and the receiver of its outcome."""
 
     __slots__ = ()
 
     @abstractmethod
     def render(self, seconds_left: float) -> bytes:
-        """The bytes to send, for a request that has this many seconds left."""
+        """Return the bytes to send, for a request that has this many seconds left before its deadline."""
 
     @abstractmethod
     def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
-        """Called once with the outcome, and with the response where a complete one came."""
+        """Handle the outcome; called exactly once.
+
+        Args:
+            outcome: the outcome of the request.
+            response: the response, or None if no complete response was received.
+        """
 
     def is_wanted(self) -> bool:
-        """Whether somebody still waits for the response; asked when the connection comes up."""
+        """Return whether the response is still wanted; called while the request waits for a connection."""
         return True
 
     def may_write(self) -> bool:
-        """The last check, called right before the request is written and not again once it returned True.
+        """Return whether the request may be written; called immediately before the request is written.
 
-        An implementation that returns True records the request as written.
+        It is not called again after it has returned True: an implementation that returns True records the
+        request as written.
         """
         return True
 
 
 class RequestState(Enum):
-    """How far a request has come.  A state is followed by a later one of this list only.
-
-    ===============  ===============  ====================================================
-    from             to               when
-    ===============  ===============  ====================================================
-    WAITING          CONNECT_HELD_UP  a connect has failed on the node's own machine
-    WAITING          WRITTEN          a connection carries it
-    CONNECT_HELD_UP  WRITTEN          a connection carries it
-    any              ENDED            its outcome is known
-    ===============  ===============  ====================================================
+    """The progress of a request, which only moves forward through these states.
+
+    ======================  ======================  =================================================
+    from                    to                      when
+    ======================  ======================  =================================================
+    WAITING                 CONNECT_FAILED_LOCALLY  a connect has failed on the node's own machine
+    WAITING                 WRITTEN                 the request is written to a connection
+    CONNECT_FAILED_LOCALLY  WRITTEN                 the request is written to a connection
+    any                     ENDED                   the outcome is known
+    ======================  ======================  =================================================
     """
 
     WAITING = auto()
-    """It waits for a connection."""
-    CONNECT_HELD_UP = auto()
-    """It waits for a connection, and the node's own machine has failed to open one."""
+    """The request waits for a connection."""
+    CONNECT_FAILED_LOCALLY = auto()
+    """The request waits for a connection, and a connect for it has failed on the node's own machine."""
     WRITTEN = auto()
-    """Its bytes were handed to a socket: it may have run."""
+    """The bytes of the request were written to a socket; the endpoint may have processed the request."""
     ENDED = auto()
-    """Its outcome has been reported."""
+    """The outcome has been reported."""
 
 
-# Python 3.11 looks up a member of an enum slowly, and these are used for each request.
+# Module constants, because Python 3.11 looks up enum members slowly and each request needs them.
 _WAITING = RequestState.WAITING
-_CONNECT_HELD_UP = RequestState.CONNECT_HELD_UP
+_CONNECT_FAILED_LOCALLY = RequestState.CONNECT_FAILED_LOCALLY
 _WRITTEN = RequestState.WRITTEN
 _ENDED = RequestState.ENDED
 
 
 _OUTCOME_AT_DEADLINE = {
     _WAITING: Outcome.CONNECT_FAILED,
-    _CONNECT_HELD_UP: Outcome.NOT_SENT,  # the endpoint is not to blame
+    _CONNECT_FAILED_LOCALLY: Outcome.NOT_SENT,  # the endpoint did not cause the failure
     _WRITTEN: Outcome.TIMEOUT,
 }
 
 
 class UpstreamRequest:
-    """One request to an endpoint: an attempt or a health check.  It ends once, with one outcome.
+    """A request to an endpoint: an attempt or a health check.  It ends exactly once, with one outcome.
 
     Attributes:
-        outbound: what is sent, and the receiver of the outcome.
-        deadline: when it times out, in the loop's time.
+        outbound: the content of the request, and the receiver of its outcome.
+        deadline: when the request times out, in the time of the event loop.
     """
 
     __slots__ = ("_connection", "_deadline_timer", "_state", "deadline", "outbound")
@@ -99,12 +106,12 @@
         self.outbound = outbound
         self.deadline = loop.time() + timeout_s
         self._state = _WAITING
-        self._connection: UpstreamConnection | None = None  # the one that carries it, while it is WRITTEN
+        self._connection: UpstreamConnection | None = None  # carries the request while it is WRITTEN
         self._deadline_timer = loop.call_later(timeout_s, self._on_deadline)
 
     @property
     def written(self) -> bool:
-        """Whether it is in flight: its bytes were handed to a socket and no outcome has come."""
+        """Whether the request is in flight: its bytes were written to a socket and it has not ended."""
         return self._state is _WRITTEN
 
     @property
@@ -113,21 +120,21 @@
         return self._state is _ENDED
 
     def has_time_left(self) -> bool:
-        """Whether it can still be written and answered before its deadline."""
+        """Return whether at least MIN_TIME_LEFT_S is left before the deadline."""
         return self.deadline - asyncio.get_running_loop().time() >= MIN_TIME_LEFT_S
 
-    def mark_held_up(self) -> None:
-        """Record that the node's own machine has failed to connect for it."""
+    def mark_connect_failed_locally(self) -> None:
+        """Record that a connect for the request has failed on the node's own machine."""
         if self._state is _WAITING:
-            self._state = _CONNECT_HELD_UP
+            self._state = _CONNECT_FAILED_LOCALLY
 
     def mark_written(self, connection: UpstreamConnection) -> None:
-        """Record that this connection carries it from now on."""
+        """Record that the request is written to this connection."""
         self._connection = connection
         self._state = _WRITTEN
 
     def end(self, outcome: Outcome, response: HttpMessage | None = None) -> None:
-        """Report the outcome; does nothing where one was reported before."""
+        """End the request and report its outcome; do nothing if the request has already ended."""
         if self._state is _ENDED:
             return
         self._state = _ENDED
@@ -136,9 +143,10 @@
         self.outbound.on_end(outcome, response)
 
     def cancel(self, outcome: Outcome) -> None:
-        """End without waiting for the response.
+        """End the request with this outcome, without waiting for the response.
 
-        The connection is closed as well, so that a late response cannot reach another request.
+        The connection that carries the request is closed, so that a late response is not read as the response
+        to another request.
         """
         if self._connection is not None:
             self._connection.abort()
--- a/load_balancer/proxy/upstream/waiting_request.py
+++ b/load_balancer/proxy/upstream/waiting_request.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a connection to come up."""
+"""Requests that wait until a connection to their endpoint is established."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 
 class WaitingRequest:
-    """A request without a connection yet, and its timers.
+    """A request that waits for a connection, with its timers.
 
-    It connects and backs off in turn until it is over.  It connects until the connect timeout, where further
-    connections are raced against a late one.  It backs off after a connect that failed on the node's own
-    machine; a connection that was raced before may still come up then.
+    Until the wait is finished, the request alternates between two phases.  In the connecting phase, which
+    lasts at most for the connect timeout, further connections are opened in parallel if the first one is not
+    established soon.  A connect that fails on the node's own machine starts the backoff phase; connections
+    that were opened in parallel before may still be established in this phase.
 
     Attributes:
-        pool: the pool of its endpoint.
-        request: the request.
-        is_over: whether it waits no longer, as it was written or has ended.
-        connects: how many connections have been started since it last began to connect.
-        local_failures: how many of its connects have failed on the node's own machine.
+        pool: the pool of the endpoint.
+        request: the request that waits.
+        is_finished: whether the wait is finished: the request was written or has ended, or the node closes.
+        connects: the number of connects that were started in the current connecting phase.
+        local_failures: the number of connects for this request that have failed on the node's own machine.
     """
 
     __slots__ = (
@@ -31,7 +32,7 @@
         "_next_connect",
         "_timeout",
         "connects",
-        "is_over",
+        "is_finished",
         "local_failures",
         "pool",
         "request",
@@ -40,7 +41,7 @@
     def __init__(self, pool: EndpointPool, request: UpstreamRequest) -> None:
         self.pool = pool
         self.request = request
-        self.is_over = False
+        self.is_finished = False
         self.connects = 0
         self.local_failures = 0
         self._timeout: asyncio.TimerHandle | None = None
@@ -48,34 +49,41 @@
         self._loop = asyncio.get_running_loop()
 
     def begin_connecting(self, timeout_s: float, on_timeout: Callable[[WaitingRequest], None]) -> None:
-        """Start the connect timeout."""
+        """Start the connecting phase; call ``on_timeout`` if no connection is established in time."""
         self.connects = 0
         self._timeout = self._loop.call_later(timeout_s, on_timeout, self)
 
     def begin_backoff(self, delay_s: float, on_end: Callable[[WaitingRequest], None]) -> None:
-        """Stop the connect timeout and the race; call back after this delay."""
+        """Start the backoff phase: cancel the connect timeout, and call ``on_end`` after the delay."""
         self._cancel_timers()
         self._next_connect = self._loop.call_later(delay_s, on_end, self)
 
-    def schedule_race(self, delay_s: float, start_race: Callable[[WaitingRequest], None]) -> None:
-        """Call back after this delay, unless a connection has come up or failed by then."""
-        self._next_connect = self._loop.call_later(delay_s, start_race, self)
+    def schedule_parallel_connect(
+        self, delay_s: float, start_connect: Callable[[WaitingRequest], None]
+    ) -> None:
+        """Call ``start_connect`` after the delay, unless the wait ends or a backoff starts before then."""
+        self._next_connect = self._loop.call_later(delay_s, start_connect, self)
 
     def finish(self) -> None:
-        """Wait no longer."""
-        self.is_over = True
+        """Finish the wait and cancel the timers."""
+        self.is_finished = True
         self._cancel_timers()
 
     def needs_connection(self) -> bool:
-        """Whether another connection would be of use to it."""
+        """Return whether the request still needs a connection."""
         return not (self.request.ended or self.pool.retired) and self.request.outbound.is_wanted()
 
     def send_on(self, connection: UpstreamConnection) -> bool:
-        """Whether the request went out on a connection that has just come up; else it has ended."""
+        """Write the request to a connection that has just been established, or end the request.
+
+        Returns:
+            Whether the request was written; otherwise, it has ended.
+        """
         request = self.request
         if request.ended:
             return False
-        # Drained, removed or restarted: a request for that process must not reach the next one.
+        # The pool is retired when its process drains, is removed or restarts.  A request for that process
+        # must not be sent to its successor.
         wanted = not self.pool.retired and request.has_time_left() and request.outbound.is_wanted()
         if not wanted or not request.outbound.may_write():
             request.end(Outcome.NOT_SENT)
@@ -91,7 +99,7 @@
 
 
 class WaitingRequests:
-    """The waiting requests of all pools, of each pool in the order in which they came."""
+    """The waiting requests of all pools; those of each pool are in the order of their arrival."""
 
     __slots__ = ("_by_pool",)
 
@@ -99,16 +107,16 @@
         self._by_pool: dict[EndpointPool, list[WaitingRequest]] = {}
 
     def add(self, waiting: WaitingRequest) -> None:
-        """Enter a request as the last one of its pool."""
+        """Append a request to the waiting requests of its pool."""
         self._by_pool.setdefault(waiting.pool, []).append(waiting)
 
     def first(self, pool: EndpointPool) -> WaitingRequest | None:
-        """The request of this pool that has waited longest; None where none waits."""
+        """Return the request of this pool that has waited longest, or None if no request waits."""
         queue = self._by_pool.get(pool)
         return queue[0] if queue else None
 
     def finish(self, waiting: WaitingRequest) -> None:
-        """Take out a request, which must be in, and cancel its timers."""
+        """Remove a request, which must be present, and cancel its timers."""
         waiting.finish()
         queue = self._by_pool[waiting.pool]
         queue.remove(waiting)
@@ -116,7 +124,7 @@
             del self._by_pool[waiting.pool]
 
     def finish_all(self) -> None:
-        """Take out all requests and cancel their timers."""
+        """Remove all requests and cancel their timers."""
         for queue in self._by_pool.values():
             for waiting in queue:
                 waiting.finish()
--- a/tests/proxy/upstream/test_connection_opener.py
+++ b/tests/proxy/upstream/test_connection_opener.py
@@ -8,7 +8,7 @@
 import pytest
 
 from load_balancer.events import Outcome
-from load_balancer.proxy.upstream.connection_opener import MAX_RACED_CONNECTIONS
+from load_balancer.proxy.upstream.connection_opener import MAX_PARALLEL_CONNECTS
 from tests.proxy.async_support import TIMEOUT_S, async_test, until
 from tests.proxy.stub_discovery import row
 from tests.proxy.stub_server import StubServer, reply, when_released
@@ -68,7 +68,7 @@
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
         late = LateConnections(monkeypatch)
         assert await harness.send() == (Outcome.CONNECT_FAILED, b"")
-        assert len(late.gates) == MAX_RACED_CONNECTIONS == harness.pools.pending_connects
+        assert len(late.gates) == MAX_PARALLEL_CONNECTS == harness.pools.pending_connects
         assert not endpoint.received
 
 
