--- a/load_balancer/proxy/upstream/__init__.py
+++ b/load_balancer/proxy/upstream/__init__.py
@@ -1,4 +1,5 @@
-"""The side of the endpoints: connection pools, connections and the requests that they carry.
+"""The upstream side of the proxy: connection pools, connections and the requests sent to endpoints.
 
-Imports of the proxy: addresses, the endpoint listing, HTTP and the event loop's helpers.
+From the rest of the proxy, this package imports only the addresses, the endpoint listing, HTTP parsing and
+the helpers for the event loop.
 """
--- a/load_balancer/proxy/upstream/connection.py
+++ b/load_balancer/proxy/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, which carries one request at a time."""
+"""A connection to an endpoint, which carries one request at a time."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 
 
 class ConnectionState(Enum):
-    """What a connection is used for.
+    """The state of a connection to an endpoint.
 
     ==================  ==================  ===================================================
     from                to                  when
     ==================  ==================  ===================================================
     CONNECTING          IDLE                the handshake is complete
     IDLE                IN_FLIGHT           a request is written
-    IN_FLIGHT           IDLE                its response is complete and nothing came behind it
-    IDLE, IN_FLIGHT     CLOSED              either side closes
+    IN_FLIGHT           IDLE                the response is complete, without surplus bytes after it
+    IDLE, IN_FLIGHT     CLOSED              the node or the endpoint closes the connection
     ==================  ==================  ===================================================
 
-    A connection in another state than CLOSED may be closing already: the transport knows of the close by
-    the endpoint before it reports it.
+    A connection that is not CLOSED yet may already be closing: when the endpoint closes a connection, the
+    transport knows about the close before it calls ``connection_lost``.
     """
 
     CONNECTING = auto()
     """The handshake is not complete."""
     IDLE = auto()
-    """It carries no request."""
+    """The connection carries no request."""
     IN_FLIGHT = auto()
-    """It carries a request whose response is not complete."""
+    """The connection carries a request whose response is not complete."""
     CLOSED = auto()
-    """It is closed, or being closed by this node; what still comes is not read."""
+    """The connection is closed, or this node is closing it; further input is ignored."""
 
 
-# Python 3.11 looks up a member of an enum slowly, and these are used for each request.
+# Module constants, because Python 3.11 looks up enum members slowly and each request needs them.
 _CONNECTING = ConnectionState.CONNECTING
 _IDLE = ConnectionState.IDLE
 _IN_FLIGHT = ConnectionState.IN_FLIGHT
@@ -53,23 +53,27 @@
 
 
 class ConnectionOwner(Protocol):
-    """Registers connections and decides which of them are kept between requests."""
+    """The owner of connections, which registers them and decides which ones are kept between requests."""
 
     def connection_opened(self, connection: UpstreamConnection, /) -> None:
-        """The connection came up."""
+        """Register a connection that has just been established."""
 
     def connection_released(self, connection: UpstreamConnection, /) -> None:
-        """The connection has carried a request to its end and can carry another."""
+        """Take back a connection whose request has ended and which can carry another request."""
 
     def connection_closed(self, connection: UpstreamConnection, /) -> None:
-        """The connection is closed; called before the outcome of a request on it is reported."""
+        """Remove a closed connection.
+
+        Called before the outcome of a request that was in flight on the connection is reported.
+        """
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to an endpoint; carries one request at a time.  See ConnectionState.
+    """A connection to an endpoint, which carries one request at a time.  See ConnectionState.
 
     Attributes:
-        idle_since: since when it has carried no request, in the loop's time; 0 before the first.
+        idle_since: when the connection last became idle, in the time of the event loop; 0 before its first
+            request.
     """
 
     def __init__(self, endpoint_name: str, owner: ConnectionOwner) -> None:
@@ -78,35 +82,38 @@
         self._owner = owner
         self._idle_before_request_s = 0.0
         self._state = _CONNECTING
-        self._request: UpstreamRequest | None = None  # set exactly while IN_FLIGHT
-        self._response: HttpMessage | None = None  # set from its last byte until it is reported
+        self._request: UpstreamRequest | None = None  # not None exactly while IN_FLIGHT
+        self._response: HttpMessage | None = None  # complete, but not reported yet
         self._reader = HttpReader(self._on_response, requests=False)
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
 
     @property
     def in_use(self) -> bool:
-        """Whether a request is in flight on it."""
+        """Whether a request is in flight on the connection."""
         return self._state is _IN_FLIGHT
 
     @property
     def idle_before_request_s(self) -> float:
-        """How long it had been idle when the present request, or else the last one, was written."""
+        """The idle time in seconds before the current request, or else the last one, was written."""
         return self._idle_before_request_s
 
     def is_open(self) -> bool:
-        """Whether it is up and not being closed by either side."""
+        """Return whether the connection is established and neither side is closing it."""
         return self._transport is not None and not self._transport.is_closing()
 
     def has_no_unread_input(self) -> bool:
-        """Whether it is open, and neither surplus bytes nor a close by the endpoint are unread."""
+        """Return whether the connection is open, without unread bytes and without an unnoticed close."""
         if not self.is_open():
             return False
         assert self._transport is not None
         return not poll_socket(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def send(self, request: UpstreamRequest) -> None:
-        """Write the request, which may have run from then on.  The connection must be idle."""
+        """Write the request; from then on, the endpoint may have processed it.
+
+        The connection must be idle.
+        """
         assert self._transport is not None
         now = self._loop.time()
         self._idle_before_request_s = now - self.idle_since if self.idle_since else 0.0
@@ -116,24 +123,24 @@
         self._transport.write(request.outbound.render(request.deadline - self._loop.time()))
 
     def abort(self) -> None:
-        """Close at once; input that still comes is not read, and no outcome is reported."""
+        """Close the connection at once; ignore further input and report no outcome."""
         self._state = _CLOSED
         self._request = None
         if self._transport is not None:
             self._transport.abort()
 
-    # Callbacks of asyncio.
+    # Callbacks from asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection came up."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        """Register the established connection with its owner."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
         self._state = _IDLE
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read a piece of the response."""
+        """Parse a part of the response."""
         if self._state is not _IN_FLIGHT:
-            self.abort()  # unsolicited bytes must not be taken for the next request's response
+            self.abort()  # unsolicited bytes must not be read as the response to the next request
             return
         try:
             self._reader.feed(data)
@@ -145,9 +152,12 @@
             self._complete(self._response)
 
     def eof_received(self) -> bool:
-        """The endpoint has closed its side in order, which completes a response without a length.
+        """Handle an orderly close by the endpoint, which completes a response without a length.
 
-        The transport then closes this side.  A reset is not reported here.
+        asyncio does not call this method when the connection is reset.
+
+        Returns:
+            False, so that the transport closes the connection.
         """
         if self._state is _IN_FLIGHT:
             self._reader.end_of_input()
@@ -156,26 +166,30 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed; a request on it may have run."""
+        """Handle the close; end the request in flight, if any, which the endpoint may have processed."""
         self._owner.connection_closed(self)
         self._fail(Outcome.RESET)
 
     def _fail(self, outcome: Outcome) -> None:
-        """Close, and end the request in flight if there is one."""
+        """Close the connection, and end the request in flight, if any, with this outcome."""
         request = self._request
         self.abort()
         if request is not None:
             request.end(outcome)
 
     def _on_response(self, message: HttpMessage) -> None:
-        """Take the first complete message as the response; the reader is still inside the same input."""
+        """Store the first complete message as the response.
+
+        The reader calls this method while it is still parsing, so the response is reported only after
+        ``feed`` or ``end_of_input`` has returned.
+        """
         self._reader.stop()
         self._response = message
 
     def _complete(self, response: HttpMessage) -> None:
-        """Report the response.
+        """Report the response, and release the connection or close it.
 
-        A connection on which more came than the response must not carry another request.
+        A connection that received surplus bytes after the response must not carry another request.
         """
         request, self._request, self._response = self._request, None, None
         if response.keep_alive and self.is_open() and not self._reader.surplus:
@@ -189,10 +203,12 @@
             request.end(_outcome_of(response), response)
 
     def _acknowledge(self) -> None:
-        """Acknowledge the response at once, rather than up to 40 ms later or with the next request.
+        """Send the TCP acknowledgement of the response at once.
 
-        A sender without TCP_NODELAY holds back a second small write until the acknowledgement: surplus would
-        arrive right behind the next request and be taken for its response.
+        Otherwise the system delays it by up to 40 ms or sends it with the next request.  A sender without
+        TCP_NODELAY holds back a second small write until the first one is acknowledged.  Surplus bytes that
+        were held back in this way would arrive just after the next request was sent, and would be read as its
+        response.
         """
         assert self._transport is not None
         transport_socket = self._transport.get_extra_info("socket")
@@ -201,7 +217,7 @@
 
 
 def _outcome_of(response: HttpMessage) -> Outcome:
-    """The outcome that a complete response stands for."""
+    """Return the outcome of a request that received this complete response."""
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504) and response.headers.get(NOT_RUN) == b"1":
--- a/load_balancer/proxy/upstream/connection_limit.py
+++ b/load_balancer/proxy/upstream/connection_limit.py
@@ -8,18 +8,18 @@
 
 
 class ConnectionLimit:
-    """Bounds the connections that are open or being opened, to all endpoints together.
+    """Limits the total number of connections to all endpoints that are open or being opened.
 
     Attributes:
-        max_open: the limit.
+        max_open: the maximum number of connections that are open or being opened.
     """
 
     def __init__(self, max_open: int, pools: ListedPools) -> None:
-        """Start with no connection being opened.
+        """Create the limit, with no connection being opened.
 
         Args:
-            max_open: how many connections may be open or being opened.
-            pools: they know the open connections, and give up idle ones at the limit.
+            max_open: the maximum number of connections that are open or being opened.
+            pools: the pools, which know the open connections and close idle ones at the limit.
         """
         self.max_open = max_open
         self._pools = pools
@@ -27,11 +27,11 @@
 
     @property
     def pending_connects(self) -> int:
-        """How many connections are being opened."""
+        """The number of connections that are being opened."""
         return len(self._connects)
 
     def add_connect(self, connect: asyncio.Task[None]) -> None:
-        """Count a connection that is being opened, until its task is done."""
+        """Count a connection that is being opened, until the task that opens it is done."""
         self._connects.add(connect)
         connect.add_done_callback(self._connects.discard)
 
@@ -41,7 +41,11 @@
             connect.cancel()
 
     def make_capacity(self) -> bool:
-        """Whether one more connection may be opened; at the limit an idle one is closed for it."""
+        """Make room for one more connection; at the limit, close the connection that has been idle longest.
+
+        Returns:
+            Whether one more connection may be opened.
+        """
         if len(self._pools.open_connections) + len(self._connects) < self.max_open:
             return True
         return self._pools.close_oldest_idle()
--- a/load_balancer/proxy/upstream/endpoint_pool.py
+++ b/load_balancer/proxy/upstream/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The idle connections to one endpoint, and which of them carries the next request."""
+"""The pool of idle connections to one endpoint, which selects the connection for the next request."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 from load_balancer.proxy.upstream.connection import UpstreamConnection
 from load_balancer.proxy.upstream.idle_timeout import IdleTimeout
 
-# Surplus that an endpoint sends behind a response must not be taken for the next response.  It may come some
-# milliseconds late: up to 4 ms were measured, and this leaves some margin above that.
+# How long a connection must have been idle before it is used again.  Surplus bytes that an endpoint sends
+# after a response must not be read as the next response.  They may arrive later than the response: a delay of
+# up to 4 ms was measured, and this value leaves a margin above that.
 REUSE_DELAY_S = 0.02
 
 
 class EndpointPool:
-    """The idle connections to one process of an endpoint; the owner of every connection to it.
+    """The idle connections to one process of an endpoint; the owner of all connections to that process.
 
     Attributes:
         name: the endpoint's id as text, for log lines.
-        address: host and port.
-        endpoint: its row in the endpoint list, as it is listed now.
-        idle_timeout: how long a connection may have been idle to be used again.
+        address: the host and port of the endpoint.
+        endpoint: the current entry of the endpoint in the endpoint list.
+        idle_timeout: how long a connection may have been idle and still be used again.
     """
 
     __slots__ = (
@@ -44,13 +45,15 @@
         max_idle_timeout_s: float,
         open_connections: set[UpstreamConnection],
     ) -> None:
-        """Start with no connection.
+        """Create a pool without connections.
 
         Args:
-            endpoint: its row in the endpoint list.
-            address: host and port.
-            max_idle_timeout_s: the idle timeout as long as the endpoint closes no connection early.
-            open_connections: where open connections are entered, shared by all pools under one limit.
+            endpoint: the entry of the endpoint in the endpoint list.
+            address: the host and port of the endpoint.
+            max_idle_timeout_s: the idle timeout, in seconds, as long as the endpoint closes no connection
+                early.
+            open_connections: the set to which the pool adds its open connections; all pools under one
+                connection limit share it.
         """
         self.name = endpoint.id.decode(errors="replace")
         self.address = address
@@ -63,32 +66,38 @@
 
     @property
     def started_ms(self) -> float:
-        """When the process started; a later start at the same address is another process."""
+        """The start time of the process, in milliseconds, from the endpoint list.
+
+        A different start time at the same address means another process.
+        """
         return self.endpoint.started_ms
 
     @property
     def retired(self) -> bool:
-        """Whether the process is drained, gone or restarted, so that its connections are not kept."""
+        """Whether the process is draining, removed or replaced, so that its connections are not kept."""
         return self._retired
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection waits for a request."""
+        """Whether the pool has an idle connection."""
         return bool(self._idle)
 
     @property
     def oldest_idle_since(self) -> float:
-        """When the connection that has been idle for longest became idle; infinite where none is idle."""
+        """When the connection that has been idle longest became idle, in the time of the event loop.
+
+        Infinity if no connection is idle.
+        """
         return self._idle[0].idle_since if self._idle else math.inf
 
-    # Callbacks of connections: ConnectionOwner.
+    # Callbacks from connections: the ConnectionOwner protocol.
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
-        """A connection came up."""
+        """Register a connection that has just been established."""
         self._open_connections.add(connection)
 
     def connection_released(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next request, if the endpoint is still the same process."""
+        """Keep a connection for later requests, or close it if the pool is retired."""
         if self._retired:
             connection.abort()
             return
@@ -96,7 +105,10 @@
         self._idle.append(connection)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """A connection has closed; if the endpoint closed it, record how long it had been idle."""
+        """Remove a closed connection; if the endpoint closed it, record how long it had been idle.
+
+        For a connection with a request in flight, the idle time before that request is recorded.
+        """
         self._open_connections.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
@@ -107,9 +119,13 @@
     # Idle connections.
 
     def take_idle(self) -> UpstreamConnection | None:
-        """Take out the most recently used connection of those that have been idle for REUSE_DELAY_S.
+        """Remove and return the most recently used connection that has been idle for at least REUSE_DELAY_S.
+
+        Connections that have been idle for too long or have unread input are closed when the search finds
+        them.
 
-        The search closes the connections on its way that have been idle for too long or have unread input.
+        Returns:
+            The connection, or None if no idle connection can be used.
         """
         now = self._loop.time()
         for i in range(len(self._idle) - 1, -1, -1):
@@ -124,7 +140,7 @@
         return None
 
     def close_oldest_idle(self) -> None:
-        """Close the connection that has been idle for longest; there must be one."""
+        """Close the connection that has been idle longest; at least one connection must be idle."""
         self._idle.pop(0).abort()
 
     def close_idle(self) -> None:
@@ -134,12 +150,16 @@
             connection.abort()
 
     def retire(self) -> None:
-        """Close all idle connections, and keep none from now on."""
+        """Close all idle connections, and from now on keep no connection for later requests."""
         self._retired = True
         self.close_idle()
 
     def reap_idle(self, now: float) -> None:
-        """Close the connections that have been idle for too long; the idle timeout recovers by one step."""
+        """Raise the idle timeout by one recovery step, and close the connections that exceed it.
+
+        Args:
+            now: the current time of the event loop, in seconds.
+        """
         self.idle_timeout.recover()
         expired = [c for c in self._idle if now - c.idle_since > self.idle_timeout.current_s]
         for connection in expired:
--- a/load_balancer/proxy/upstream/health_checks.py
+++ b/load_balancer/proxy/upstream/health_checks.py
@@ -1,4 +1,4 @@
-"""Sends the health checks that the policy asks for."""
+"""Sends the health checks that the policy requests."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
         self._started_ms = started_ms
 
     def render(self, seconds_left: float) -> bytes:
-        """The same bytes for each check."""
+        """Return the bytes of the check, which are the same for each check."""
         return self._checker.request
 
     def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
-        """Report the result."""
+        """Report the result of the check."""
         self._checker.report_result(self._endpoint_id, outcome, self._started_ms)
 
 
@@ -36,7 +36,7 @@
     """Sends health checks to endpoints and reports each result once.
 
     Attributes:
-        request: the bytes of a health check.
+        request: the bytes that are sent for a health check.
     """
 
     def __init__(
@@ -48,10 +48,16 @@
         self._report = report
 
     def check(self, endpoint_id: EndpointId) -> None:
-        """Start one health check; its result is reported later."""
+        """Start a health check; its result is reported after this method has returned."""
         health_check = _HealthCheck(self, endpoint_id, self._clock.now())
         self._pools.start_request(endpoint_id, health_check, HEALTH_CHECK_TIMEOUT_S)
 
     def report_result(self, endpoint_id: EndpointId, outcome: Outcome, started_ms: float) -> None:
-        """Report the outcome of a check that started at this time."""
+        """Report the outcome and the duration of a health check.
+
+        Args:
+            endpoint_id: the endpoint that was checked.
+            outcome: the outcome of the check.
+            started_ms: when the check started, in milliseconds of the node's clock.
+        """
         self._report(HealthCheckEnded(endpoint_id, outcome, self._clock.now() - started_ms))
--- a/load_balancer/proxy/upstream/idle_timeout.py
+++ b/load_balancer/proxy/upstream/idle_timeout.py
@@ -1,21 +1,24 @@
-"""How long an idle connection may be kept and used again: shorter for an endpoint that closes early."""
+"""The idle timeout of connections, which is shortened for an endpoint that closes connections early."""
 
 from __future__ import annotations
 
-IDLE_TIMEOUT_FRACTION = 0.5  # of the time after which an endpoint closes: a request must never cross that
-# Endpoints may close idle connections sooner than they are configured to, and a request that crosses that
-# close may have run.  An endpoint that has closed an idle connection, or reset a request on one, has its
-# connections used for half as long from then on, and after some time as before.  A close right behind a
-# response is seen before the next request, and so is not recorded.
+# Fraction of the idle time after which an endpoint closes a connection.  The margin prevents a request from
+# being sent while the endpoint closes the connection.
+IDLE_TIMEOUT_FRACTION = 0.5
+# Endpoints may close idle connections sooner than they are configured to.  A request that is sent during such
+# a close may have been processed.  After an endpoint has closed an idle connection, or has reset a request
+# that was sent after an idle time, the idle timeout of its connections is at most half of that idle time; it
+# then recovers gradually.  A close shortly after a response is noticed before the next request is sent, so
+# closes after less than MIN_RECORDED_IDLE_S are not recorded.
 MIN_RECORDED_IDLE_S = 0.05
-IDLE_TIMEOUT_RECOVERY = 1.03  # factor at each pass of the idle reaper
+IDLE_TIMEOUT_RECOVERY = 1.03  # factor by which the timeout grows each time idle connections are reaped
 
 
 class IdleTimeout:
     """The idle timeout of the connections to one endpoint.
 
     Attributes:
-        current_s: how long a connection may have been idle to be used again.
+        current_s: how long, in seconds, a connection may have been idle and still be used again.
     """
 
     __slots__ = ("_max_s", "current_s")
@@ -25,7 +28,7 @@
         self._max_s = max_s
 
     def record_close(self, idle_s: float) -> None:
-        """The endpoint closed a connection that had been idle for this long."""
+        """Shorten the timeout: the endpoint has closed a connection that was idle for this many seconds."""
         if idle_s >= MIN_RECORDED_IDLE_S:
             self.current_s = min(self.current_s, IDLE_TIMEOUT_FRACTION * idle_s)
 
--- a/load_balancer/proxy/upstream/listed_pools.py
+++ b/load_balancer/proxy/upstream/listed_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of the endpoints that the endpoint list names as serving."""
+"""The connection pools of the endpoints that are serving according to the endpoint list."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 
 
 class ListedPools:
-    """Follows the endpoint list: one pool for each serving endpoint, one endpoint for each address.
+    """Keeps one pool for each serving endpoint of the endpoint list, and at most one endpoint per address.
 
     Attributes:
-        open_connections: all connections that are up, also those to endpoints that are no longer listed.
+        open_connections: all established connections, including those to endpoints that are no longer listed.
     """
 
     def __init__(self, max_idle_timeout_s: float) -> None:
-        """Start with no endpoint.
+        """Create the collection without pools.
 
         Args:
-            max_idle_timeout_s: the idle timeout of a pool whose endpoint closes no connection early.
+            max_idle_timeout_s: the idle timeout, in seconds, of a pool whose endpoint closes no connection
+                early.
         """
         self.open_connections: set[UpstreamConnection] = set()
         self._max_idle_timeout_s = max_idle_timeout_s
         self._pools: dict[EndpointId, EndpointPool] = {}
-        self._endpoint_at: dict[Address, EndpointId] = {}  # which endpoint is listed at an address
+        self._endpoint_at: dict[Address, EndpointId] = {}  # the endpoint that is listed at an address
 
     def __len__(self) -> int:
         return len(self._pools)
@@ -36,18 +37,19 @@
         return iter(self._pools.values())
 
     def get(self, endpoint_id: EndpointId) -> EndpointPool | None:
-        """The pool of an endpoint; None where it is not listed as serving."""
+        """Return the pool of an endpoint, or None if the endpoint is not listed as serving."""
         return self._pools.get(endpoint_id)
 
     def update(self, listing: EndpointListing) -> list[EndpointId]:
-        """Follow the endpoint list.
+        """Apply an endpoint list, or a change to it, to the pools.
 
-        An endpoint with another address or start time is another process; the old connections lead to one
-        that has ended.
+        An endpoint whose address or start time has changed is a new process.  Its old pool is retired,
+        because the connections of that pool belong to a process that has ended.
 
         Returns:
-            The endpoints whose address is another endpoint's now.  A request sent there under the old id
-            would reach the new process, which is warming up.
+            The ids of the endpoints without a pool whose address now belongs to another endpoint.  A request
+            that is sent to this address for the old endpoint would reach the new process, which is warming
+            up.
         """
         if listing.complete:
             for endpoint_id in self._pools.keys() - {endpoint.id for endpoint in listing.endpoints}:
@@ -57,14 +59,18 @@
             if endpoint.state is not EndpointState.SERVING:
                 self._remove(endpoint.id)
                 continue
-            older = self._add_serving(endpoint, listing.addresses[endpoint.id])
-            if older is not None:
-                replaced.append(older)
-        # A replaced endpoint may be listed at another address further down in the list.
+            replaced_id = self._add_serving(endpoint, listing.addresses[endpoint.id])
+            if replaced_id is not None:
+                replaced.append(replaced_id)
+        # A replaced endpoint may appear with another address later in the list.
         return [endpoint_id for endpoint_id in replaced if endpoint_id not in self._pools]
 
     def close_oldest_idle(self) -> bool:
-        """Close the connection that has been idle for longest; False where none is idle."""
+        """Close the connection that has been idle longest in any of the pools.
+
+        Returns:
+            Whether a connection was closed; False if none is idle.
+        """
         pool = min(self._pools.values(), key=lambda pool: pool.oldest_idle_since, default=None)
         if pool is None or not pool.has_idle:
             return False
@@ -72,22 +78,29 @@
         return True
 
     def _add_serving(self, endpoint: Endpoint, address: Address) -> EndpointId | None:
-        """Follow one serving endpoint; returns the older one of two that are listed at the same address."""
-        older: EndpointId | None = None
-        occupant = self._endpoint_at.get(address)
-        if occupant is not None and occupant != endpoint.id:
-            occupant_is_newer = self._pools[occupant].started_ms > endpoint.started_ms
-            older = endpoint.id if occupant_is_newer else occupant
-            self._remove(older)
-            if occupant_is_newer:
-                return older
+        """Add or update the pool of a serving endpoint.
+
+        Of two endpoints that are listed at the same address, only the one that started later keeps its pool.
+
+        Returns:
+            The id of the endpoint that has no pool because the other one keeps the address, or None if no
+            other endpoint is listed at the address.
+        """
+        replaced_id: EndpointId | None = None
+        previous_id = self._endpoint_at.get(address)
+        if previous_id is not None and previous_id != endpoint.id:
+            previous_is_newer = self._pools[previous_id].started_ms > endpoint.started_ms
+            replaced_id = endpoint.id if previous_is_newer else previous_id
+            self._remove(replaced_id)
+            if previous_is_newer:
+                return replaced_id
         pool = self._pools.get(endpoint.id)
         if pool is None or pool.address != address or pool.started_ms != endpoint.started_ms:
             self._remove(endpoint.id)
             self._add(endpoint, address)
         else:
             pool.endpoint = endpoint
-        return older
+        return replaced_id
 
     def _add(self, endpoint: Endpoint, address: Address) -> None:
         self._pools[endpoint.id] = EndpointPool(
--- a/load_balancer/proxy/upstream/local_errors.py
+++ b/load_balancer/proxy/upstream/local_errors.py
@@ -1,10 +1,11 @@
-"""Connects that fail on the node's own machine: which errors these are, and the backoff after one."""
+"""The errors of connects that fail on the node's own machine, and the backoff after such an error."""
 
 from __future__ import annotations
 
 import errno
 
-# The node's own machine lacks a resource, as a rule for a moment; the error says nothing about the endpoint.
+# Errors that mean that the node's own machine lacks a resource, usually only for a moment.  They say nothing
+# about the endpoint.
 LOCAL_ERRNOS = frozenset(
     {
         errno.EADDRNOTAVAIL,
@@ -22,10 +23,14 @@
 
 
 def is_local(error: OSError) -> bool:
-    """Whether the error is of the node's own machine."""
+    """Return whether the error was caused by the node's own machine."""
     return error.errno in LOCAL_ERRNOS
 
 
 def retry_delay_s(earlier_failures: int) -> float:
-    """The exponential backoff after a local error that followed this many others."""
+    """Return the delay before the next connect after a local error: an exponential backoff, in seconds.
+
+    Args:
+        earlier_failures: the number of local errors before this one.
+    """
     return min(MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * 2.0**earlier_failures)
--- a/load_balancer/proxy/upstream/pools.py
+++ b/load_balancer/proxy/upstream/pools.py
@@ -1,4 +1,4 @@
-"""The side of the endpoints as the node sees it: starts requests and closes what is idle."""
+"""The interface of the node to the endpoints: starts requests and closes idle connections."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 log = logging.getLogger(__name__)
 
-REAP_INTERVAL_S = 1.0
+REAP_INTERVAL_S = 1.0  # how often connections that have been idle for too long are closed
 
 
 class UpstreamPools:
-    """Starts requests to the endpoints that the endpoint list names."""
+    """Starts requests to the endpoints of the endpoint list and manages the connections to them."""
 
     def __init__(self, *, connect_timeout_s: float, endpoint_idle_s: float, max_open: int) -> None:
-        """Start with no endpoint.
+        """Create the pools, without endpoints, and start the timer that closes idle connections.
 
         Args:
             connect_timeout_s: how long a request waits for a connection, in seconds.
-            endpoint_idle_s: after how many idle seconds endpoints close a connection.
-            max_open: how many connections may be open or being opened.
+            endpoint_idle_s: the idle time, in seconds, after which endpoints close a connection.
+            max_open: the maximum number of connections that are open or being opened.
         """
         self._loop = asyncio.get_running_loop()
         self._listed = ListedPools(IDLE_TIMEOUT_FRACTION * endpoint_idle_s)
@@ -44,27 +44,31 @@
 
     @property
     def open_connections(self) -> tuple[UpstreamConnection, ...]:
-        """All connections that are up, also those to endpoints that are no longer listed."""
+        """All established connections, including those to endpoints that are no longer listed."""
         return tuple(self._listed.open_connections)
 
     @property
     def pending_connects(self) -> int:
-        """How many connections are being opened."""
+        """The number of connections that are being opened."""
         return self._limit.pending_connects
 
     @property
     def has_endpoints(self) -> bool:
-        """Whether an endpoint is listed as serving."""
+        """Whether at least one endpoint is listed as serving."""
         return bool(self._listed)
 
     # The endpoint list.
 
     def update(self, listing: EndpointListing) -> list[EndpointId]:
-        """Follow the endpoint list; returns the endpoints whose address is another endpoint's now."""
+        """Apply an endpoint list, or a change to it, to the pools.
+
+        Returns:
+            The ids of the endpoints without a pool whose address now belongs to another endpoint.
+        """
         return self._listed.update(listing)
 
     def serving_endpoint(self, endpoint_id: EndpointId) -> Endpoint | None:
-        """The endpoint's row in the list, None where it is not listed as serving."""
+        """Return the endpoint's entry in the list, or None if the endpoint is not listed as serving."""
         pool = self._listed.get(endpoint_id)
         return None if pool is None else pool.endpoint
 
@@ -73,7 +77,7 @@
     def start_request(
         self, endpoint_id: EndpointId, outbound: OutboundRequest, timeout_s: float
     ) -> UpstreamRequest:
-        """Start a request; its outcome is reported once, and not before this returns."""
+        """Start a request; its outcome is reported exactly once, after this method has returned."""
         request = UpstreamRequest(outbound, max(timeout_s, MIN_TIME_LEFT_S))
         pool = self._listed.get(endpoint_id)
         if pool is None:
@@ -85,7 +89,7 @@
         return request
 
     def _start_in(self, pool: EndpointPool, request: UpstreamRequest) -> None:
-        """Write the request on an idle connection, else open one for it."""
+        """Write the request to an idle connection, or open a connection for it if no idle one can be used."""
         connection = pool.take_idle()
         if connection is not None:
             self._send_on_idle(pool, connection, request)
@@ -113,14 +117,17 @@
             pool.close_idle()
 
     def close(self) -> None:
-        """Close everything.  Requests in flight are left to their deadline timers."""
+        """Close all connections, and stop opening connections.
+
+        Requests that have not ended yet end when their deadline timers expire.
+        """
         self._reap_timer.cancel()
         self._opener.close()
         for connection in self.open_connections:
             connection.abort()
 
     def reap_idle(self) -> None:
-        """Close the connections that have been idle for longer than their endpoint allows."""
+        """Close the connections that have been idle for longer than the idle timeout of their endpoint."""
         now = self._loop.time()
         for pool in self._listed:
             pool.reap_idle(now)
