--- a/load_balancer/proxy/discovery/__init__.py
+++ b/load_balancer/proxy/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""The source of the endpoint list: watches on discovery and the reading of what they bring.
+"""The source of the endpoint list: watches on discovery, and the parsing of the lists that they receive.
 
-Imports of the proxy: addresses and the event loop's helpers.
+From the rest of the proxy, this package imports only the addresses and the helpers for the event loop.
 """
--- a/load_balancer/proxy/discovery/endpoint_discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list: opens watches, replaces those that end, and moves to a new address."""
+"""Keeps a watch on the endpoint list: opens it, replaces it when it ends or when the address changes."""
 
 from __future__ import annotations
 
@@ -14,63 +14,63 @@
 
 
 class ListingHandler(Protocol):
-    """Called with each endpoint list, and each change to one, in order."""
+    """A callback that receives each endpoint list, and each change to a list, in order."""
 
     def __call__(self, listing: EndpointListing, /) -> None:
-        """Take in a list or a change."""
+        """Handle an endpoint list or a change to it."""
         ...
 
 
 class FailureHandler(Protocol):
-    """Called each time when the last watch has failed and no other one is being opened."""
+    """A callback for each failure after which no watch is left, neither open nor being opened."""
 
     def __call__(self) -> None:
-        """Record the failure."""
+        """Handle the failure."""
         ...
 
 
 class DiscoveryState(Enum):
-    """Which watches are kept.
+    """The state of discovery: which watches it keeps.
 
     ====================  =================  ===================================================
     from                  to                 when
     ====================  =================  ===================================================
-    any                   WATCHING           subscribe
-    all but UNSUBSCRIBED  MOVING             discovery moves
-    MOVING                WATCHING           the first input of the successor, which takes over
+    any                   WATCHING           ``subscribe`` is called
+    all but UNSUBSCRIBED  MOVING             ``move`` is called with a new address
+    MOVING                WATCHING           the successor receives input and replaces the watch
     MOVING                MOVE_BACKOFF       the successor ends while the old watch works
-    MOVE_BACKOFF          MOVING             the reconnect delay is over
-    with a watch          RECONNECT_BACKOFF  the last watch ends, where lists are pushed
-    with a watch          UNWATCHED          the last watch ends, where lists are polled
-    RECONNECT_BACKOFF     WATCHING           the reconnect delay is over
-    all but UNSUBSCRIBED  UNWATCHED          close
+    MOVE_BACKOFF          MOVING             the reconnect delay has passed
+    with a watch          RECONNECT_BACKOFF  the last watch ends, and lists are pushed
+    with a watch          UNWATCHED          the last watch ends, and lists are polled
+    RECONNECT_BACKOFF     WATCHING           the reconnect delay has passed
+    all but UNSUBSCRIBED  UNWATCHED          ``close`` is called
     ====================  =================  ===================================================
 
-    WATCHING, MOVING and MOVE_BACKOFF are the states with a watch.  Where the old watch ends while MOVING, the
-    successor is kept alone, and the state stays.
+    WATCHING, MOVING and MOVE_BACKOFF are the states with a watch.  If the old watch ends in the state MOVING,
+    only the successor is kept, and the state does not change.
     """
 
     UNSUBSCRIBED = auto()
     """No watch has been opened yet."""
     WATCHING = auto()
-    """One watch is kept: it is open or being opened."""
+    """There is one watch, which is open or being opened."""
     MOVING = auto()
     """A successor is being opened at the new address; the old watch is kept as long as it works."""
     MOVE_BACKOFF = auto()
-    """The old watch works; after the reconnect delay another successor is opened."""
+    """The old watch works; another successor is opened after the reconnect delay."""
     RECONNECT_BACKOFF = auto()
-    """No watch is kept; after the reconnect delay one is opened."""
+    """There is no watch; a new watch is opened after the reconnect delay."""
     UNWATCHED = auto()
-    """No watch is kept until the policy polls again."""
+    """There is no watch until the policy polls again."""
 
 
 class EndpointDiscovery:
-    """Keeps at most one watch, and a successor that replaces it after discovery has moved.
+    """Keeps at most one watch, and a successor that replaces it after the address of discovery has changed.
 
-    Where lists are pushed, the watch is with the agent on the node's own machine: it costs nothing, is opened
-    without a poll of the policy, and its failures say nothing about the list.  When discovery moves, the
-    watch at the new address is up before the old one is closed; a failure is reported only when neither is
-    left.  See DiscoveryState.
+    If lists are pushed, the watch connects to the agent on the node's own machine.  Such a watch costs
+    nothing, is opened without a poll by the policy, and its failures say nothing about the endpoint list.
+    When the address of discovery changes, the old watch is kept until the watch at the new address has
+    received input; a failure is reported only when neither watch is left.  See DiscoveryState.
     """
 
     def __init__(
@@ -84,16 +84,17 @@
         on_listing: ListingHandler,
         on_failure: FailureHandler,
     ) -> None:
-        """Prepare to start; no watch is opened yet.
+        """Prepare discovery without opening a watch.
 
         Args:
-            address: where discovery, or the agent, listens.
+            address: the address of discovery or, if lists are pushed, of the agent.
             listing_reader: reads the endpoint lists.
-            pushed: whether lists are pushed by an agent, or polled when the policy asks for it.
-            poll_timeout_s: how long the policy waits for a poll, in seconds.
+            pushed: whether lists are pushed by an agent; otherwise, they are polled when the policy requests
+                it.
+            poll_timeout_s: how long the policy waits for the result of a poll, in seconds.
             drain_grace_s: the time in seconds within which sending to a draining endpoint must stop.
-            on_listing: receives the lists.
-            on_failure: is called at failures where lists are polled.
+            on_listing: receives the endpoint lists and the changes to them.
+            on_failure: called when the last watch has failed, if lists are polled.
         """
         self._address = address
         self._listing_reader = listing_reader
@@ -111,48 +112,56 @@
 
     @property
     def state(self) -> DiscoveryState:
-        """Which watches are kept."""
+        """The state of discovery: which watches it keeps."""
         return self._state
 
     @property
     def version(self) -> int:
-        """The version of the last endpoint list that came, or that discovery was started from."""
+        """The version of the last endpoint list received; before the first, the version passed to start."""
         return self._version
 
     @property
     def has_received_input(self) -> bool:
-        """Whether input has come on a watch since the start."""
+        """Whether any watch has received input since the start."""
         return self._has_received_input
 
     @property
     def watch(self) -> DiscoveryWatch | None:
-        """The watch that is kept: it is open or being opened."""
+        """The watch, open or being opened, apart from a successor; None if there is none."""
         return self._watch
 
     @property
     def successor(self) -> DiscoveryWatch | None:
-        """The watch at the address that discovery moved to, until its first input."""
+        """The watch at the new address of discovery, until it receives input; None if there is none."""
         return self._successor
 
     @property
     def reconnect_timer(self) -> asyncio.TimerHandle | None:
-        """The timer of the backoff before the next watch or successor is opened."""
+        """The timer of the delay before the next watch or successor is opened; None outside of a backoff."""
         return self._reconnect_timer
 
     def start(self, version: int) -> None:
-        """Begin from the version of the cached list, which is 0 where there is none."""
+        """Start discovery; open a watch if lists are pushed.
+
+        Args:
+            version: the version of the cached endpoint list, or 0 if there is no cached list.
+        """
         self._version = version
         if self._pushed:
             self.subscribe()
 
     def subscribe(self) -> None:
-        """Open a watch from the last version on; replaces one that is still there."""
+        """Open a watch for changes after the last version; close all existing watches first."""
         self._close_watches()
         self._state = DiscoveryState.WATCHING
         self._watch = self._open_watch()
 
     def move(self, address: Address) -> None:
-        """Open a watch at another address, which replaces the old one at its first input."""
+        """Change the address of discovery.
+
+        A watch at the new address replaces the old watch as soon as it receives input.  Before the first call
+        of ``subscribe``, only the address is stored.
+        """
         if address == self._address:
             return
         self._address = address
@@ -160,11 +169,11 @@
             self._successor.close()
             self._successor = None
         if self._state is not DiscoveryState.UNSUBSCRIBED:
-            # A backoff is cut short: it was for the old address.
+            # Do not wait for the end of a backoff, which applied to the old address.
             self._open_successor()
 
     def close(self) -> None:
-        """Close every watch and cancel the reconnect timer; nothing is reported of it."""
+        """Close all watches and cancel the reconnect timer; no failure is reported."""
         self._close_watches()
         if self._state is not DiscoveryState.UNSUBSCRIBED:
             self._state = DiscoveryState.UNWATCHED
@@ -191,13 +200,13 @@
             self._reconnect_timer.cancel()
             self._reconnect_timer = None
 
-    # Callbacks of watches: WatchOwner.
+    # Callbacks from watches: the WatchOwner protocol.
 
     def watch_received(self, watch: DiscoveryWatch, text: bytes) -> None:
-        """Hand on an endpoint list.
+        """Parse an endpoint list or a change to it, and pass it to the listing handler.
 
         Raises:
-            ListingError: the object is no endpoint list.
+            ListingError: the object is not an endpoint list.
         """
         try:
             listing = self._listing_reader.read(json.loads(text))
@@ -208,7 +217,7 @@
         self._on_listing(listing)
 
     def watch_active(self, watch: DiscoveryWatch) -> None:
-        """Input came on the watch: if it is the successor, it takes over."""
+        """Record that the watch has received input; a successor then replaces the old watch."""
         self._has_received_input = True
         if watch is self._successor:
             if self._watch is not None:
@@ -217,7 +226,7 @@
             self._state = DiscoveryState.WATCHING
 
     def watch_ended(self, watch: DiscoveryWatch) -> None:
-        """Replace a watch that has failed, or report the failure where none is left."""
+        """Handle the end of a watch; if no watch is left, reconnect later or report the failure."""
         if watch is self._successor:
             self._successor = None
             if self._watch is not None:
@@ -226,16 +235,16 @@
                 self._on_all_ended()
             return
         self._watch = None
-        if self._successor is None:  # else the old address has closed, and the new watch is being opened
+        if self._successor is None:  # otherwise, the old watch has ended and the successor is being opened
             self._on_all_ended()
 
     def _back_off_move(self) -> None:
-        """The old watch still works, so that there is time for another successor."""
+        """Open another successor after the reconnect delay, while the old watch still works."""
         self._state = DiscoveryState.MOVE_BACKOFF
         self._reconnect_timer = self._loop.call_later(self._timing.reconnect_delay_s, self._open_successor)
 
     def _on_all_ended(self) -> None:
-        """No watch is left, and none is being opened."""
+        """Reconnect after a delay if lists are pushed, else report the failure; no watch is left."""
         self._close_watches()
         if self._pushed:
             self._state = DiscoveryState.RECONNECT_BACKOFF
--- a/load_balancer/proxy/discovery/endpoint_listing.py
+++ b/load_balancer/proxy/discovery/endpoint_listing.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery writes it, read into typed endpoints and their addresses."""
+"""Parsing of the endpoint list that discovery sends into typed endpoints and their addresses."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class ListingError(Exception):
-    """The value is no endpoint list.
+    """The value is not an endpoint list.
 
     Attributes:
-        problem: the field at fault and its error.
+        problem: the invalid field and what is wrong with it.
     """
 
     def __init__(self, problem: str) -> None:
@@ -34,10 +34,10 @@
     """An endpoint list, or changes to one.
 
     Attributes:
-        version: discovery's number of the state after this list or change.
-        complete: whether this names all endpoints; otherwise it names those that have changed.
-        endpoints: the endpoints in the order of the list.
-        addresses: where the endpoints listen, by id.
+        version: the version that discovery assigns to the state after this list or change.
+        complete: whether the listing contains all endpoints; otherwise, it contains only changed endpoints.
+        endpoints: the endpoints, in the order of the list.
+        addresses: the addresses of the endpoints, by endpoint id.
     """
 
     version: int
@@ -46,7 +46,11 @@
     addresses: dict[EndpointId, Address]
 
     def event(self, *, cached: bool = False) -> EndpointListUpdate:
-        """The event for the policy; cached marks a list that may be out of date."""
+        """Return the event for the policy.
+
+        Args:
+            cached: whether the list comes from a cache and may be out of date.
+        """
         return EndpointListUpdate(self._kind(cached), self.endpoints, self.version)
 
     def _kind(self, cached: bool) -> EndpointListKind:
@@ -56,7 +60,7 @@
 
 
 class ListingReader:
-    """Reads endpoint lists; translates the names of zones and machine types into the policy's indices.
+    """Parses endpoint lists; translates the names of zones and machine types into the indices of the policy.
 
     Attributes:
         zones: the names of the zones, in the order of the settings.
@@ -68,17 +72,17 @@
         self.machine_types = machine_types
 
     def read(self, raw: Any) -> EndpointListing:
-        """Translate one decoded JSON value.
+        """Translate a decoded JSON value into an endpoint listing.
 
         Raises:
-            ListingError: the value is no endpoint list.
+            ListingError: the value is not an endpoint list.
         """
         try:
             return self._read(raw)
         except KeyError as error:
             raise ListingError(f"{error} is missing or unknown") from None
         except (TypeError, ValueError, AttributeError, OverflowError) as error:
-            raise ListingError(f"not a list of servers: {error}") from None
+            raise ListingError(f"not an endpoint list: {error}") from None
 
     def _read(self, raw: Any) -> EndpointListing:
         endpoints: list[Endpoint] = []
@@ -98,16 +102,21 @@
         return Endpoint(
             id=item["instanceId"].encode(),
             state=_STATES[item["lifecycle"]],
-            weight=_finite(item.get("weight", 1.0)),
+            weight=_finite_number(item.get("weight", 1.0)),
             machine_type=_index_of(item.get("machineType", ""), self.machine_types),
             zone=_index_of(item.get("zone", ""), self.zones),
             cell=_index_of(item.get("cell", 0), ()),
-            started_ms=_finite(item.get("startedAtMs", 0)),
+            started_ms=_finite_number(item.get("startedAtMs", 0)),
         )
 
 
-def _finite(value: Any) -> float:
-    """The value as a number.  ValueError where it is infinite or not a number."""
+def _finite_number(value: Any) -> float:
+    """Return the value as a float.
+
+    Raises:
+        TypeError: the value has a type that cannot be converted.
+        ValueError: the value is infinite or not a number.
+    """
     number = float(value)
     if not math.isfinite(number):
         raise ValueError(f"{value} is not a finite number")
@@ -115,9 +124,11 @@
 
 
 def _index_of(name: Any, known_names: tuple[str, ...]) -> int:
-    """The index of a name in the settings, or for another name an index that is its own.
+    """Return the index of a name in the settings.
 
-    The index of another name is computed from it rather than stored, so that new names take no memory.
+    A number is returned unchanged.  For a name that is not in the settings, the index is computed from a
+    checksum of the name and is greater than those of the known names.  It is not stored, so that new names
+    take no memory.
     """
     if isinstance(name, int):
         return name
--- a/load_balancer/proxy/discovery/json_stream.py
+++ b/load_balancer/proxy/discovery/json_stream.py
@@ -1,8 +1,9 @@
-"""Splits a stream of JSON objects into its objects, in any layout and any pieces of input.
+"""Splits a stream of JSON objects into its objects, whatever their layout and the division of the input.
 
-An object may stand on one line or be indented over several lines; blank lines between objects are heartbeats.
-Malformed input is detected as soon as its line is complete, without waiting for more: no JSON token contains
-a line break, so a remainder that is no token at the end of a line never becomes one.
+An object may be on one line or be indented over several lines; blank lines between objects are heartbeats.
+Malformed input is detected as soon as its line is complete, without waiting for more input.  This is possible
+because no JSON token contains a line break: text at the end of a line that is not a token can never become
+a token.
 """
 
 from __future__ import annotations
@@ -10,11 +11,12 @@
 import re
 from collections.abc import Iterator
 
-MAX_OBJECT_BYTES = 4 * 1024 * 1024  # an endpoint list of some ten thousand endpoints
-MAX_DEPTH = 32  # far deeper than an endpoint list; reading a deeper object would exhaust the stack
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # enough for about ten thousand endpoints
+MAX_DEPTH = 32  # much more than an endpoint list needs; parsing a far deeper object would exhaust the stack
 
-# All tokens between two brackets; possessive, so that no input causes backtracking.  A number may continue in
-# the next piece of input: it is complete only with the character that ends it.
+# Matches all tokens between two brackets.  The quantifiers are possessive, so that no input causes
+# backtracking.  A number may continue in the next piece of input, so it is matched only when the character
+# after it has been received.
 _BETWEEN_BRACKETS = re.compile(
     rb'(?:[ \t\r\n,:]++|"(?:[^"\\\x00-\x1f]++|\\[^\x00-\x1f])*+"'
     rb"|-?[0-9][0-9.eE+-]*+(?=[ \t\r\n,\]}])|true|false|null)*+"
@@ -25,10 +27,10 @@
 
 
 class MalformedStreamError(Exception):
-    """The input is no sequence of JSON objects, or an object exceeds a limit.
+    """The input is not a sequence of JSON objects, or an object exceeds a limit.
 
     Attributes:
-        problem: the error, for log lines.
+        problem: the description of the error, for log lines.
     """
 
     def __init__(self, problem: str) -> None:
@@ -37,30 +39,30 @@
 
 
 class JsonObjectStream:
-    """Collects pieces of input and returns each complete object as text."""
+    """Collects pieces of input and yields the text of each complete object."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._scanned = 0  # how much of the buffer has been scanned
-        self._depth = 0  # how many brackets are open there
+        self._scanned = 0  # the number of bytes of the buffer that have been scanned
+        self._depth = 0  # the number of brackets that are open after the scanned bytes
 
     @property
     def in_object(self) -> bool:
-        """Whether an object has begun and is not complete yet."""
+        """Whether the stream is inside an object that is not complete yet."""
         return self._depth > 0
 
     def feed(self, piece: bytes) -> Iterator[bytes]:
-        """Take in a piece of input and yield the objects that it completes.
+        """Add a piece of input and yield the objects that it completes.
 
         Raises:
-            MalformedStreamError: the stream cannot be read from here on.
+            MalformedStreamError: the input is malformed; the rest of the stream cannot be parsed.
         """
         self._buffer += piece
         while (bracket := self._next_bracket()) is not None:
             self._depth += 1 if bracket in _OPENING_BRACKETS else -1
             self._scanned += 1
             if self._depth > MAX_DEPTH:
-                raise MalformedStreamError("an object is nested too deep")
+                raise MalformedStreamError("an object is nested too deeply")
             if self._depth == 0:
                 complete = bytes(self._buffer[: self._scanned])
                 self._drop_scanned()
@@ -68,20 +70,20 @@
         if self._depth == 0:
             self._drop_scanned()
         if len(self._buffer) > MAX_OBJECT_BYTES:
-            raise MalformedStreamError(f"an object of more than {MAX_OBJECT_BYTES} bytes")
+            raise MalformedStreamError(f"an object is longer than {MAX_OBJECT_BYTES} bytes")
 
     def _next_bracket(self) -> bytes | None:
-        """Scan up to the next bracket and return it; None where more input is needed first."""
+        """Scan up to the next bracket and return it, or None if more input is needed."""
         begin = self._scanned
         found = _BETWEEN_BRACKETS.match(self._buffer, begin)
-        assert found is not None  # the pattern matches the empty string, too
+        assert found is not None  # the pattern also matches the empty string
         self._scanned = found.end()
         if self._depth == 0 and self._buffer[begin : self._scanned].strip(_BLANK):
-            raise MalformedStreamError("a value stands outside of an object")
+            raise MalformedStreamError("a value is outside of an object")
         bracket = bytes(self._buffer[self._scanned : self._scanned + 1])
         if bracket and bracket in _BRACKETS:
             if self._depth == 0 and bracket != b"{":
-                raise MalformedStreamError("a value stands outside of an object")
+                raise MalformedStreamError("a value is outside of an object")
             return bracket
         if b"\n" in self._buffer[self._scanned :]:
             raise MalformedStreamError("a line is not JSON")
--- a/load_balancer/proxy/discovery/watch.py
+++ b/load_balancer/proxy/discovery/watch.py
@@ -1,4 +1,4 @@
-"""One watch: a connection on which discovery sends the endpoint list and then its changes."""
+"""A watch: a connection on which discovery sends the endpoint list and then the changes to it."""
 
 from __future__ import annotations
 
@@ -17,12 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines that discovery sends as long as nothing changes
-# The protocol counts a change that a silent watch misses as notified 6 s after the silence began, even if the
-# next watches fail.  A missed heartbeat and one busy second leave three seconds.  Within these, two new
-# watches may fail, each with its response timeout and reconnect delay, before the third must deliver.
+HEARTBEAT_INTERVAL_S = 2.0  # time between the empty lines that discovery sends while nothing changes
+# When a watch falls silent and misses a change, the protocol counts the change as notified 6 s after the
+# start of the silence, even if the next watches fail.  Waiting for one heartbeat interval, and for one more
+# second in case a machine is busy, leaves 3 s.  In this time, two new watches may fail, each with its
+# response timeout and reconnect delay, before the third watch must deliver the change.
 SILENCE_TIMEOUT_S = HEARTBEAT_INTERVAL_S + 1.0
-OBJECT_TIMEOUT_S = 1.0  # discovery sends an object at once: one that does not continue has been cut off
+# Discovery sends each object without a pause, so an object that does not continue has been cut off.
+OBJECT_TIMEOUT_S = 1.0
 
 
 class WatchState(Enum):
@@ -31,53 +33,61 @@
     ==================  ==================  ===================================================
     from                to                  when
     ==================  ==================  ===================================================
-    OPENING             LISTENING           a heartbeat or the end of an object
-    OPENING, LISTENING  IN_OBJECT           the beginning of an object
-    IN_OBJECT           LISTENING           the end of the object
+    OPENING             LISTENING           a heartbeat or the end of an object is received
+    OPENING, LISTENING  IN_OBJECT           the beginning of an object is received
+    IN_OBJECT           LISTENING           the end of the object is received
     any                 CLOSED              the watch ends or its owner closes it
     ==================  ==================  ===================================================
     """
 
     OPENING = auto()
-    """The connection and the first input, within the response timeout."""
+    """The watch waits for its connection and the first input, within the response timeout."""
     LISTENING = auto()
-    """A heartbeat or an object, within the silence timeout."""
+    """The watch waits for a heartbeat or an object, within the silence timeout."""
     IN_OBJECT = auto()
-    """The rest of an object, within the object timeout from its last part."""
+    """The watch waits for the rest of an object, within the object timeout after the last part of it."""
     CLOSED = auto()
-    """Nothing: no input is handed on."""
+    """The watch is closed and reports no more input."""
 
 
 class WatchOwner(Protocol):
-    """Receives the reports of one or several watches."""
+    """The owner of one or several watches, which receives their reports."""
 
     def watch_received(self, watch: DiscoveryWatch, text: bytes, /) -> None:
-        """A complete JSON object came; raises ListingError if it is no endpoint list."""
+        """Handle a complete JSON object.
+
+        Raises:
+            ListingError: the object is not an endpoint list.
+        """
 
     def watch_active(self, watch: DiscoveryWatch, /) -> None:
-        """Input came: an object, a part of one or a heartbeat."""
+        """Handle input on the watch: an object, a part of an object or a heartbeat."""
 
     def watch_ended(self, watch: DiscoveryWatch, /) -> None:
-        """The watch has ended: it could not be opened, broke, fell silent or was malformed."""
+        """Handle the end of the watch.
+
+        The watch could not be opened, its connection was closed, no input came in time, or the input was
+        malformed.
+        """
 
 
 class DiscoveryWatch(asyncio.Protocol):
-    """One watch on one connection.  See WatchState.
+    """A watch on its own connection to discovery.  See WatchState.
 
-    It owns its connection, the task that opens it and its timer.  Its owner is notified once of its end,
-    unless the owner closed it.
+    The watch manages the connection, the task that opens the connection, and the timer.  When the watch ends,
+    its owner is notified once, unless the owner itself closed the watch.
     """
 
     def __init__(
         self, owner: WatchOwner, address: Address, version: int, *, response_timeout_s: float
     ) -> None:
-        """Begin to open the watch.
+        """Start to open the watch.
 
         Args:
-            owner: receives the objects, and the end.
-            address: where discovery listens.
-            version: the version of the endpoint list after which changes are wanted.
-            response_timeout_s: how long the first input may take.
+            owner: receives the objects, and is notified of the end.
+            address: the address of discovery.
+            version: the version of the endpoint list after which discovery sends changes.
+            response_timeout_s: how long the first input may take, in seconds.
         """
         self._owner = owner
         self._request = b"GET /v1/endpoints?watch=1&from=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (
@@ -101,7 +111,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether it has ended or was closed by its owner."""
+        """Whether the watch has ended or was closed by its owner."""
         return self._state is WatchState.CLOSED
 
     def close(self) -> None:
@@ -113,23 +123,23 @@
             self._transport.abort()
 
     def _end(self) -> None:
-        """Close the connection and notify the owner, once."""
+        """Close the connection and notify the owner, unless the watch is already closed."""
         if not self.is_closed:
             self.close()
             self._owner.watch_ended(self)
 
-    # Callbacks of asyncio.
+    # Callbacks from asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection came up: send the request."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        """Send the request on the connection that has just been established."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
         if self.is_closed:
             self._transport.abort()
         else:
             self._transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Read a piece of the response."""
+        """Parse a part of the response."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -138,18 +148,18 @@
                 self._end()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed."""
+        """End the watch, because its connection is closed."""
         self._end()
 
-    # Callbacks of httptools.
+    # Callbacks from httptools.
 
     def on_headers_complete(self) -> None:
-        """The head of the response is complete."""
+        """Check the status of the response; end the watch if it is not 200."""
         if self._parser.get_status_code() != 200:
             self._end()
 
     def on_body(self, part: bytes) -> None:
-        """A part of the stream came: hand on the objects that it completes."""
+        """Process a part of the stream; pass the objects that it completes to the owner."""
         if self.is_closed:
             return
         try:
@@ -162,22 +172,23 @@
             self._end()
             return
         self._owner.watch_active(self)
-        # A cut network link gives no sign: without input within its timeout the watch has failed.
+        # An interrupted network link is not reported; a watch without input within its timeout has failed.
         if not self._objects.in_object:
             self._state = WatchState.LISTENING
             self._set_timer(SILENCE_TIMEOUT_S)
-        elif part.strip():  # a heartbeat is no part of an object
+        elif part.strip():  # a heartbeat is not a part of the object
             self._state = WatchState.IN_OBJECT
             self._set_timer(OBJECT_TIMEOUT_S)
 
     def on_message_complete(self) -> None:
-        """Discovery has ended the stream."""
+        """End the watch, because discovery has ended the stream."""
         self._end()
 
     def check_silence(self) -> None:
-        """End the watch, as no input was read within the timeout.
+        """End the watch if no input has arrived within the timeout.
 
-        Unread input has come in time while the loop was late; it is read first.
+        If the socket has unread input, the input arrived while the event loop was blocked.  It is read first,
+        and the check is then repeated if necessary.
         """
         transport = self._transport
         if transport is not None and poll_socket(transport.get_extra_info("socket").fileno(), select.POLLIN):
--- a/load_balancer/proxy/discovery/watch_timing.py
+++ b/load_balancer/proxy/discovery/watch_timing.py
@@ -1,35 +1,36 @@
-"""How long discovery waits for a watch, and before the next one."""
+"""The response timeout of a watch, and the delay before the next watch is opened."""
 
 from __future__ import annotations
 
-# A pushed list is kept by an agent on the node's own machine.  The agent answers at once and counts what it
-# has as notified: a delay in reading it is taken from the drain grace, the time within which the node must
-# stop sending to a draining endpoint, and must leave most of it.
+# If lists are pushed, an agent on the node's own machine holds the endpoint list.  The agent responds at
+# once, and each change that the agent holds counts as notified.  The drain grace, within which the node must
+# stop sending to a draining endpoint, therefore includes any delay in reading the change.  The timeout and
+# the delay below must leave most of the drain grace.
 RESPONSE_TIMEOUT_FRACTION = 0.4  # of the drain grace
 RECONNECT_DELAY_FRACTION = 0.2  # of the drain grace
 MIN_RESPONSE_TIMEOUT_S = 0.1
-MAX_RESPONSE_TIMEOUT_S = 1.0  # also where lists are polled
+MAX_RESPONSE_TIMEOUT_S = 1.0  # also the upper limit if lists are polled
 MIN_RECONNECT_DELAY_S = 0.05
 MAX_RECONNECT_DELAY_S = 0.25
 
 
 class WatchTiming:
-    """The times that the settings leave for the watches of a node.
+    """The timeout and the delay for the watches of a node, computed from the settings.
 
     Attributes:
-        response_timeout_s: how long the first input of a watch may take.
-        reconnect_delay_s: how long after the end of a watch the next one is opened.
+        response_timeout_s: how long the first input of a watch may take, in seconds.
+        reconnect_delay_s: the delay, in seconds, between the end of a watch and the opening of the next one.
     """
 
     __slots__ = ("reconnect_delay_s", "response_timeout_s")
 
     def __init__(self, *, pushed: bool, poll_timeout_s: float, drain_grace_s: float) -> None:
-        """Compute the times.
+        """Compute the timeout and the delay.
 
         Args:
             pushed: whether lists are pushed by an agent.
-            poll_timeout_s: how long the policy waits for a poll.
-            drain_grace_s: the time within which sending to a draining endpoint must stop.
+            poll_timeout_s: how long the policy waits for the result of a poll, in seconds.
+            drain_grace_s: the time in seconds within which sending to a draining endpoint must stop.
         """
         response_timeout_s = MAX_RESPONSE_TIMEOUT_S
         if pushed:
