--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Silent watches are replaced, and moves of discovery are followed."""
+"""The replacement of silent watches, and changes of the address of discovery."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from tests.proxy.stub_discovery import StubDiscovery, listing, row, send_line
 from tests.proxy.stub_server import StubServer, reply
 
-NOTIFIED_S = 6.0  # after a watch fell silent: what it missed counts as notified from then on
+NOTIFIED_S = 6.0  # time after the start of a silence at which missed changes count as notified
 
 
 async def _bodies(environment: NodeEnvironment, requests: int) -> set[bytes]:
-    """The bodies of the responses to this many requests on one connection."""
+    """Send this many requests on one connection and return the set of response bodies."""
     client = await environment.connect_client()
     return {(await client.fetch("look")).body for _ in range(requests)}
 
@@ -31,7 +31,7 @@
 
 
 def test_timeouts_leave_time_for_third_watch() -> None:
-    """With the longest timeouts and delays, where lists are pushed and where they are polled."""
+    """Check the longest timeouts and delays, both if lists are pushed and if they are polled."""
     pushed = watch_timing.MAX_RESPONSE_TIMEOUT_S + watch_timing.MAX_RECONNECT_DELAY_S
     polled = watch_timing.MAX_RESPONSE_TIMEOUT_S + POLL_BACKOFF_MAX_MS / 1000.0
     silence = discovery_watch.SILENCE_TIMEOUT_S
@@ -42,9 +42,10 @@
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @async_test
 async def test_change_missed_by_silent_watch_arrives_in_time_though_next_watch_fails(mode: str) -> None:
-    """In real time: the watch falls silent, and the next one is accepted without a response.
+    """The watch falls silent, and discovery accepts the next watch without sending a response.
 
-    The time does not depend on the settings, even where these allow polls only rarely.
+    The test runs with the real timeouts.  The time limit does not depend on the settings, even if these allow
+    polls only rarely.
     """
     rare_polls = {"mustAskInMs": 600_000.0, "stopSendingWithinMs": 20_000.0}
     loop = asyncio.get_running_loop()
@@ -57,7 +58,7 @@
     ):
         send_line(await environment.discovery.watch(), listing(2, reset=False))
         await until(lambda: environment.endpoint_discovery.version == 2)
-        fell_silent = loop.time()
+        silence_began = loop.time()
         environment.discovery.mute = True
         await environment.discovery.watch()
         environment.discovery.mute = False
@@ -65,13 +66,13 @@
             await environment.discovery.watch(), listing(3, row("a", one.address, "DRAINING"), reset=False)
         )
         await until(lambda: environment.endpoint_discovery.version == 3)
-        assert loop.time() - fell_silent < NOTIFIED_S
+        assert loop.time() - silence_began < NOTIFIED_S
         assert await _bodies(environment, requests=5) == {b"b"}
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @async_test
-async def test_drain_missed_by_silent_watch_is_followed(mode: str, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_drain_missed_by_silent_watch_is_applied(mode: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_watch, "SILENCE_TIMEOUT_S", 0.05)
     async with (
         StubServer([reply("200 OK", b"a")]) as one,
@@ -89,7 +90,7 @@
 
 @async_test
 async def test_watch_without_response_is_reopened() -> None:
-    """While discovery is down its agent is silent; a watch that was opened then must not be waited for."""
+    """While discovery is down, its agent does not respond; the node must not wait long for such a watch."""
     guarantees = {"mustAskInMs": 60_000.0, "stopSendingWithinMs": 250.0}
     async with (
         StubServer([reply("200 OK")]) as endpoint,
@@ -104,11 +105,11 @@
         await until(lambda: environment.endpoint_discovery.version == 7)
 
 
-# ---------------------------------------------------------------- moves
+# ---------------------------------------------------------------- changes of the address
 
 
 def _move(node: Node, path: Path, address: str) -> None:
-    """Have the node read a configuration in which discovery is at this address."""
+    """Reload the configuration of the node with this address of discovery."""
     path.write_text(json.dumps({"discovery": address}))
     node.reload()
 
@@ -118,7 +119,7 @@
 
 
 async def _reconnect_timer(environment: NodeEnvironment) -> asyncio.TimerHandle:
-    """The timer of the reconnect backoff, once that has begun."""
+    """Wait until a reconnect backoff has begun and return its timer."""
     timer = await until(lambda: environment.endpoint_discovery.reconnect_timer)
     assert timer is not None
     return timer
@@ -126,7 +127,7 @@
 
 @async_test
 async def test_second_move_cancels_reconnect_to_first(tmp_path: Path) -> None:
-    """The backoff after the first must not open another watch, whose end would close the one that works."""
+    """The backoff after the first move must not open another watch: its end would close the working watch."""
     config = tmp_path / "config.json"
     async with (
         StubServer([reply("200 OK")]) as endpoint,
--- a/tests/proxy/discovery/test_endpoint_listing.py
+++ b/tests/proxy/discovery/test_endpoint_listing.py
@@ -1,4 +1,4 @@
-"""Reading of endpoint lists as discovery writes them, and rejection of malformed ones."""
+"""Parsing of endpoint lists that discovery sends, and rejection of malformed lists."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
     "changes",
     [{"weight": float("inf")}, {"startedAtMs": float("nan")}, {"hostPort": "h:99999"}, {"hostPort": ":1"}],
 )
-def test_list_with_unusable_value_is_rejected(changes: dict[str, Any]) -> None:
+def test_list_with_invalid_value_is_rejected(changes: dict[str, Any]) -> None:
     with pytest.raises(ListingError):
         ListingReader((), ()).read(listing(1, {**row("a", "127.0.0.1:1"), **changes}))
     with pytest.raises(ListingError):
         ListingReader((), ()).read({**listing(1), "generation": float("inf")})
 
 
-def test_names_are_read_as_indices_of_the_settings() -> None:
+def test_names_are_translated_into_indices_of_settings() -> None:
     listing_reader = ListingReader(("north", "south"), ("std", "slow"))
     rows = [{**row("a", "h:1"), "zone": "south", "machineType": kind} for kind in ("slow", "odd", "std")]
     endpoints = listing_reader.read(listing(1, *rows)).endpoints
--- a/tests/proxy/discovery/test_json_stream.py
+++ b/tests/proxy/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Objects of a JSON stream in any layout, and malformed input."""
+"""Splitting of JSON streams in any layout, and detection of malformed input."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("indent", [None, 0, 2, "\t"])
 @pytest.mark.parametrize("piece_size", [1, 2, 7, 64, 100_000])
-def test_objects_are_found_in_any_layout_and_any_pieces(indent: int | str | None, piece_size: int) -> None:
+def test_objects_are_found_in_any_layout_and_piece_size(indent: int | str | None, piece_size: int) -> None:
     text = json.dumps(LIST, indent=indent).encode()
     stream = b"\n\n" + text + b"\n\r\n \n" + text + b"\n" + text + text + b"\n"
     objects = JsonObjectStream()
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""Input on one watch, and the ways in which the watch ends."""
+"""Input on a watch, and the ways in which a watch ends."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @async_test
-async def test_indented_list_is_followed() -> None:
+async def test_indented_list_is_applied() -> None:
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(has_cached_list=False, registryMode="pushed") as environment,
@@ -40,7 +40,7 @@
 async def test_malformed_list_reopens_watch_with_one_log_line(
     pieces: tuple[bytes, ...], monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """In the last case the object is cut off, and only heartbeats follow."""
+    """In the last case, the object is cut off and only heartbeats follow."""
     monkeypatch.setattr(discovery_watch, "OBJECT_TIMEOUT_S", 0.05)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
@@ -56,12 +56,12 @@
         assert len([record for record in caplog.records if "discovery" in record.message]) <= 1
         assert (
             await (await environment.connect_client()).fetch("look")
-        ).status == 200, "the last list remains"
+        ).status == 200, "the last valid list stays in use"
 
 
 @async_test
 async def test_unread_input_at_silence_timeout_keeps_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop was blocked for longer than the silence timeout, and a heartbeat came in that time."""
+    """The event loop was blocked for longer than the silence timeout, and a heartbeat arrived meanwhile."""
     monkeypatch.setattr(discovery_watch, "SILENCE_TIMEOUT_S", 0.2)
     async with running_node(registryMode="pushed") as environment:
         stream = await environment.discovery.watch()
