--- a/load_balancer/proxy/upstream/listed_pools.py
+++ b/load_balancer/proxy/upstream/listed_pools.py
@@ -80,7 +80,8 @@
     def _add_serving(self, endpoint: Endpoint, address: Address) -> EndpointId | None:
         """Add or update the pool of a serving endpoint.
 
-        Of two endpoints that are listed at the same address, only the one that started later keeps its pool.
+        Of two endpoints that are listed at the same address, only the endpoint that started later keeps its
+        pool.  If both started at the same time, the endpoint of this call keeps its pool.
 
         Returns:
             The id of the endpoint that has no pool because the other one keeps the address, or None if no
--- a/tests/proxy/upstream/connects.py
+++ b/tests/proxy/upstream/connects.py
@@ -1,4 +1,4 @@
-"""Connects that are late, or fail on the node's own machine."""
+"""Replacements of ``create_connection`` whose connects are delayed, or fail on the node's own machine."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 from tests.proxy.async_support import until
 
 
-class LateConnections:
-    """Delays each connection until its gate is opened, in any order.
+class DelayedConnects:
+    """Delays each connect until the test sets its gate; the gates may be set in any order.
 
     Attributes:
-        gates: for each connection that was begun, in order, the event that lets it come up.
+        gates: for each connect that was started, in order, the event that lets it continue.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         loop = asyncio.get_running_loop()
         self.gates: list[asyncio.Event] = []
         self._create_connection = loop.create_connection
-        monkeypatch.setattr(loop, "create_connection", self._connect_late)
+        monkeypatch.setattr(loop, "create_connection", self._connect)
 
-    async def _connect_late(self, factory: Any, host: str, port: int, **options: Any) -> Any:
+    async def _connect(self, factory: Any, host: str, port: int, **options: Any) -> Any:
         gate = asyncio.Event()
         self.gates.append(gate)
         await gate.wait()
         return await self._create_connection(factory, host, port, **options)
 
-    async def begun(self, count: int) -> None:
-        """Wait until this many connections were begun."""
+    async def wait_until_started(self, count: int) -> None:
+        """Wait until at least this many connects have been started."""
         await until(lambda: len(self.gates) >= count)
 
 
 class FailingConnects:
-    """Every connect fails on the node's own machine until the fault is over.
+    """Makes every connect fail with an error of the node's own machine, until the test sets ``recovered``.
 
     Attributes:
-        failed: how many connects have failed.
-        over: connects work from now on.
+        failures: the number of connects that have failed.
+        recovered: whether connects work again.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, error: int) -> None:
         loop = asyncio.get_running_loop()
-        self.failed = 0
-        self.over = False
+        self.failures = 0
+        self.recovered = False
         self._error = error
         self._create_connection = loop.create_connection
         monkeypatch.setattr(loop, "create_connection", self._connect)
 
     async def _connect(self, factory: Any, host: str, port: int, **options: Any) -> Any:
-        if not self.over:
-            self.failed += 1
+        if not self.recovered:
+            self.failures += 1
             raise OSError(self._error, os.strerror(self._error))
         return await self._create_connection(factory, host, port, **options)
--- a/tests/proxy/upstream/harness.py
+++ b/tests/proxy/upstream/harness.py
@@ -20,27 +20,27 @@
 
 
 def endpoint_listing(version: int, *rows: Mapping[str, object], reset: bool = True) -> EndpointListing:
-    """An endpoint list, or with reset False a change to one."""
+    """Return an endpoint list, or a change to one if ``reset`` is False."""
     return ListingReader((), ()).read(listing(version, *rows, reset=reset))
 
 
 class SampleRequest(OutboundRequest):
-    """A request whose outcome is handed to a function."""
+    """A request whose outcome is passed to a function."""
 
     def __init__(self, on_outcome: Callable[[Outcome, HttpMessage | None], None]) -> None:
         self._on_outcome = on_outcome
 
     def render(self, seconds_left: float) -> bytes:
-        """The same bytes for each request."""
+        """Return the same bytes for each request."""
         return REQUEST
 
     def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
-        """Hand over the outcome."""
+        """Pass the outcome to the function."""
         self._on_outcome(outcome, response)
 
 
 class UpstreamHarness:
-    """Requests that are sent through pools of connections, and their outcomes.
+    """Sends requests through connection pools and collects their outcomes.
 
     Attributes:
         pools: the pools under test.
@@ -54,7 +54,11 @@
     def start(
         self, timeout_s: float = TIMEOUT_S, endpoint_id: EndpointId = b"a"
     ) -> tuple[UpstreamRequest, asyncio.Future[OutcomeAndBody]]:
-        """Start a request; the future gets its outcome and the body of its response."""
+        """Start a request.
+
+        Returns:
+            The request, and a future of its outcome and the body of its response.
+        """
         future: asyncio.Future[OutcomeAndBody] = asyncio.get_running_loop().create_future()
 
         def on_outcome(outcome: Outcome, response: HttpMessage | None) -> None:
@@ -64,11 +68,11 @@
         return self.pools.start_request(endpoint_id, SampleRequest(on_outcome), timeout_s), future
 
     async def send(self, timeout_s: float = TIMEOUT_S, endpoint_id: EndpointId = b"a") -> OutcomeAndBody:
-        """Send a request and wait for its outcome."""
+        """Send a request and return its outcome and the body of its response."""
         return await self.start(timeout_s, endpoint_id)[1]
 
     def update(self, version: int, *rows: Mapping[str, object], reset: bool = True) -> list[EndpointId]:
-        """Have the pools follow an endpoint list; returns the endpoints that were replaced."""
+        """Apply an endpoint list or a change to the pools; return the endpoints that were replaced."""
         return self.pools.update(endpoint_listing(version, *rows, reset=reset))
 
 
@@ -76,7 +80,7 @@
 async def upstream(
     address: str, *, max_open: int = 100, endpoint_idle_s: float = 30.0
 ) -> AsyncIterator[UpstreamHarness]:
-    """Pools whose list names the endpoint 'a' at this address."""
+    """Provide a harness whose endpoint list contains the endpoint "a" at this address."""
     harness = UpstreamHarness(
         UpstreamPools(connect_timeout_s=0.15, endpoint_idle_s=endpoint_idle_s, max_open=max_open)
     )
--- a/tests/proxy/upstream/test_connection.py
+++ b/tests/proxy/upstream/test_connection.py
@@ -1,4 +1,4 @@
-"""Responses of an endpoint, and the one outcome of its request."""
+"""The responses of an endpoint, and the single outcome of each request."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     ("behaviour", "expected"),
     [
         (reply("200 OK", b"body"), Outcome.OK),
-        # A response without a length lasts until an orderly close, which a reset is not.
+        # A response without a length is completed by an orderly close of the connection, but not by a reset.
         (raw(NO_LENGTH_HEAD + b"body", close=True), Outcome.OK),
         (raw(NO_LENGTH_HEAD + b"x" * 65537, close=True), Outcome.MALFORMED_RESPONSE),
         (then_reset(NO_LENGTH_HEAD + b"body"), Outcome.RESET),
@@ -102,8 +102,8 @@
 
 
 @async_test
-async def test_unsolicited_bytes_end_connection() -> None:
-    """Guards against the surplus of one response being read as the next one."""
+async def test_unsolicited_bytes_close_connection() -> None:
+    """Surplus bytes after a response must not be read as the next response."""
     twice = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1" * 2)
     async with StubServer([twice, reply("200 OK", b"2")]) as endpoint, upstream(endpoint.address) as harness:
         assert await harness.send() == (Outcome.OK, b"1")
@@ -113,8 +113,8 @@
 
 @pytest.mark.parametrize("surplus", [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1", b"\x07noise", b"H"])
 @async_test
-async def test_surplus_behind_response_is_not_next_response(surplus: bytes) -> None:
-    """The next request starts while the piece of input with the response is still being read."""
+async def test_surplus_after_response_is_not_read_as_next_response(surplus: bytes) -> None:
+    """The next request starts while the input that contains the response is still being parsed."""
     both = raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1" + surplus)
     async with StubServer([both, reply("200 OK", b"2")]) as endpoint, upstream(endpoint.address) as harness:
         later: list[asyncio.Future[OutcomeAndBody]] = []
@@ -126,7 +126,7 @@
 
 
 @async_test
-async def test_response_without_length_is_complete_only_at_the_close() -> None:
+async def test_response_without_length_is_complete_only_when_endpoint_closes() -> None:
     pieces = (NO_LENGTH_HEAD[:9], NO_LENGTH_HEAD[9:], b"bo", b"dy")
     async with StubServer([in_pieces(*pieces)]) as endpoint, upstream(endpoint.address) as harness:
         _, future = harness.start()
--- a/tests/proxy/upstream/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""Which idle connections are used again, and for how long they are kept."""
+"""The selection of idle connections for requests, and the time for which they are kept."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_connection_with_unread_input_is_not_reused() -> None:
-    """Unread surplus behind a response would be taken for the next response."""
+    """Unread surplus bytes after a response would be read as the next response."""
     behaviours = [reply("200 OK", b"1"), reply("200 OK", b"2")]
     async with StubServer(behaviours) as endpoint, upstream(endpoint.address) as harness:
         assert await harness.send() == (Outcome.OK, b"1")
@@ -27,29 +27,35 @@
         assert connection.has_no_unread_input()
         os.write(endpoint.writers[0].get_extra_info("socket").fileno(), b"HTTP/1.1 500 No\r\n")
         while connection.has_no_unread_input():
-            time.sleep(0)  # the loop must not get to read it
+            time.sleep(0)  # do not yield to the event loop, which would read the bytes
         assert await harness.send() == (Outcome.OK, b"2")
         assert endpoint.accepted_connections == 2
 
 
 def _without_nodelay(*behaviours: Behaviour) -> Behaviour:
-    """These behaviours, on a socket that holds back small writes until the last one is acknowledged."""
+    """Return a behaviour that runs these behaviours on a socket without TCP_NODELAY.
+
+    The system then holds back small writes until the previous write is acknowledged.
+    """
 
     async def behave(server: StubServer, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 0)
         for behaviour in behaviours:
             await behaviour(server, received, writer)
-            await asyncio.sleep(0)  # a write of its own
+            await asyncio.sleep(0)  # so that each behaviour makes a separate write
 
     return behave
 
 
 @async_test
-async def test_surplus_that_the_system_holds_back_is_not_the_next_response() -> None:
-    """The surplus is sent at the acknowledgement of the response, at the latest with the next request."""
+async def test_surplus_that_system_holds_back_is_not_read_as_next_response() -> None:
+    """The system sends the surplus bytes when the response is acknowledged.
+
+    The next request acknowledges the response at the latest.
+    """
     single = _without_nodelay(reply("200 OK", b"answer"))
     doubled = _without_nodelay(reply("200 OK", b"answer"), reply("200 OK", b"surplus"))
-    exchanges = 8  # after a few of them the system acknowledges with the next data, or after 40 ms
+    exchanges = 8  # after a few, the system delays acknowledgements until the next data, or by 40 ms
     behaviours = [*[single] * exchanges, doubled, single]
     async with StubServer(behaviours) as endpoint, upstream(endpoint.address) as harness:
         (pool,) = harness.pools.pools
@@ -73,7 +79,10 @@
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_early_close_by_endpoint_shortens_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request that crosses the close may have run: one that must not run twice is lost with it."""
+    """A request that is sent during the close may have been processed.
+
+    It is therefore lost if it must not run twice.
+    """
     monkeypatch.setattr("load_balancer.proxy.upstream.idle_timeout.MIN_RECORDED_IDLE_S", 0.0)
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
         (pool,) = harness.pools.pools
@@ -88,7 +97,7 @@
         await harness.send()
         assert (
             endpoint.accepted_connections == 3
-        ), "a connection was used that had been idle for longer than the timeout"
+        ), "a connection that had been idle for longer than the timeout was used"
         pool.idle_timeout.current_s = configured / 2
         harness.pools.reap_idle()
         assert configured / 2 < pool.idle_timeout.current_s < configured, "the timeout recovers over time"
--- a/tests/proxy/upstream/test_listed_pools.py
+++ b/tests/proxy/upstream/test_listed_pools.py
@@ -1,4 +1,4 @@
-"""Following the endpoint list: endpoints that share or swap addresses, and the cost of an update."""
+"""Updates of the endpoint list: endpoints that share or swap addresses, and the cost of an update."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_newer_endpoint_takes_over_address() -> None:
-    """Guards against requests for the old process that would reach the new one, which is warming up."""
+    """Requests for the old process must not reach the new process, which is warming up."""
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
         newer = row("b", endpoint.address, started=5.0)
         assert harness.update(2, newer, reset=False) == [b"a"]
@@ -28,7 +28,7 @@
 
 
 @async_test
-async def test_endpoints_that_swap_addresses_are_reached_at_new_ones() -> None:
+async def test_endpoints_that_swap_addresses_are_reached_at_new_addresses() -> None:
     async with (
         StubServer([reply("200 OK", b"1")]) as one,
         StubServer([reply("200 OK", b"2")]) as two,
@@ -36,7 +36,7 @@
     ):
         harness.update(2, row("b", two.address), reset=False)
         swapped = row("a", two.address, started=5.0), row("b", one.address, started=5.0)
-        assert harness.update(3, *swapped, reset=False) == [], "both are listed"
+        assert harness.update(3, *swapped, reset=False) == [], "both endpoints are still listed"
         assert (await harness.send(endpoint_id=b"a"))[1] == b"2"
         assert (await harness.send(endpoint_id=b"b"))[1] == b"1"
         harness.update(4, row("a", two.address, "DRAINING"), reset=False)
@@ -45,7 +45,7 @@
 
 
 class _CountedAddress(Address):
-    """An address that counts how often one is compared."""
+    """An address whose class counts the comparisons of addresses."""
 
     comparisons = 0
 
--- a/tests/proxy/upstream/test_pools.py
+++ b/tests/proxy/upstream/test_pools.py
@@ -1,4 +1,4 @@
-"""Requests that cannot be started, and the limit on connections."""
+"""Requests that cannot be started, and the limit on the number of connections."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
-async def test_attempt_whose_time_is_over_is_not_written() -> None:
-    """The endpoint would be notified of a deadline of zero or less."""
+async def test_request_with_too_little_time_left_is_not_written() -> None:
+    """The request would tell the endpoint a deadline of zero or less."""
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
         await harness.send()
         assert await harness.send(timeout_s=0.0004) == (Outcome.NOT_SENT, b"")
@@ -35,7 +35,7 @@
 
 @async_test
 async def test_connect_timeout_is_connect_failure() -> None:
-    """A listening socket whose backlog is full leaves connections unanswered, as a cut network link does."""
+    """A listening socket with a full backlog leaves connects unanswered, like a broken network link."""
     with socket.socket() as listener, contextlib.ExitStack() as stack:
         listener.bind((HOST, 0))
         listener.listen(0)
