--- a/load_balancer/proxy/discovery/endpoint_discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Keeps a watch on the endpoint list: opens it, replaces it when it ends or when the address changes."""
+"""Keeps a watch on the endpoint list, and replaces the watch when it ends or the address changes."""
 
 from __future__ import annotations
 
