--- a/fault_soak/__main__.py
+++ b/fault_soak/__main__.py
@@ -149,9 +149,9 @@
 
 
 def _print_events(history: History, *, logs: bool) -> None:
-    for ended in history.of(FaultEnded):
+    for ended in history.events_of(FaultEnded):
         print(f"{ended.at:.3f} end of {ended.kind} {ended.target} fired={ended.fired}")
-    for logged in history.of(NodeLogged) if logs else ():
+    for logged in history.events_of(NodeLogged) if logs else ():
         print(f"{logged.at:.3f} {logged.node}/{logged.incarnation} {logged.line}")
 
 
--- a/fault_soak/history.py
+++ b/fault_soak/history.py
@@ -254,6 +254,6 @@
         self.events.append(event)
         self._by_type[type(event)].append(event)
 
-    def of(self, kind: type[EventType]) -> list[EventType]:
+    def events_of(self, kind: type[EventType]) -> list[EventType]:
         """All events of one type."""
         return cast(list[EventType], list(self._by_type[kind]))
--- a/fault_soak/oracle/answers.py
+++ b/fault_soak/oracle/answers.py
@@ -1,4 +1,4 @@
-"""Checks of what clients receive."""
+"""Checks of the responses that clients receive."""
 
 from __future__ import annotations
 
@@ -15,32 +15,40 @@
 
 REJECTION_STATUSES = (429, 503)
 MIN_RETRY_AFTER_LIMIT_S = 0.5
+"""The lowest upper limit of Retry-After in seconds, even if the limit in the settings is lower."""
+
 RETRY_AFTER_ROUNDING_S = 0.001
+"""The number of seconds by which rounding may raise a Retry-After above its limit."""
+
 TERM_ARRIVAL_S = 0.7
-"""How long after SIGTERM requests may still arrive at a node."""
+"""The time in seconds after SIGTERM during which requests may still arrive at a node."""
 
 BURST_BEFORE_S = 0.1
+"""The time in seconds before the recorded start of a connection burst at which it may affect requests."""
+
 BURST_AFTER_S = 1.0
-"""How long before and after a connection burst the descriptors of a node may be used up."""
+"""The time in seconds after the end of a connection burst during which descriptors may remain exhausted."""
 
 
-def check_answers(view: HistoryView) -> Iterator[Violation]:
-    """Each request that was accepted gets one final answer in time."""
-    answered = {response.request_id: response for response in view.of(ResponseReceived)}
+def check_response_times(view: HistoryView) -> Iterator[Violation]:
+    """Check that each accepted request receives a complete response in time."""
+    answered = {response.request_id: response for response in view.events_of(ResponseReceived)}
     for response in answered.values():
         sent = view.requests[response.request_id]
         late_s = response.at - sent.at - sent.deadline_s
         if late_s > LATE_ALLOWANCE_S + view.lag_s:
-            yield Violation(Rule.LOST, response.request_id, f"answered {late_s:.3f} s too late")
-    for missing in view.of(ResponseMissing):
+            yield Violation(
+                Rule.LOST, response.request_id, f"response received {late_s:.3f} s after the deadline"
+            )
+    for missing in view.events_of(ResponseMissing):
         if missing.request_id not in answered and not _is_excused(view, missing):
             yield _missing_answer(view, missing)
 
 
 def _missing_answer(view: HistoryView, missing: ResponseMissing) -> Violation:
     sent = view.requests[missing.request_id]
-    how = "its connection was closed" if missing.closed else "nothing came"
-    detail = f"{how} after {missing.at - sent.at:.3f} s of {sent.deadline_s:.3f} s"
+    how = "the connection was closed" if missing.closed else "no response was received"
+    detail = f"{how} after {missing.at - sent.at:.3f} s, deadline {sent.deadline_s:.3f} s"
     unread = missing.closed and not view.attempts_of(missing.request_id)
     rule = Rule.CLOSED_UNREAD if unread else Rule.LOST
     return Violation(rule, missing.request_id, f"{sent.node} {sent.class_name}: {detail}")
@@ -55,10 +63,11 @@
 
 
 def _connection_failed(view: HistoryView, sent: RequestSent, at: float) -> bool:
-    """Whether reads failed on live connections of the node in that time, those of clients among them.
+    """Check whether a fault that makes reads fail can have closed the client's connection.
 
-    The node reads from the first byte on, so that a read may fail long before a slow client has written the
-    last one. The client sees the close when it has written that, or soon after the end of the fault.
+    Such a fault affects all connections of the node, including the connections of clients. The node starts to
+    read at the first byte of a request, so a read may fail long before a slow client has written the last
+    byte. The client notices the close when it has written the last byte, or soon after the end of the fault.
     """
     seen_within_s = SOCKET_SLACK_S + PAUSE_ALLOWANCE_S + view.lag_s
     return any(
@@ -69,7 +78,10 @@
 
 
 def _descriptors_used_up(view: HistoryView, sent: RequestSent) -> bool:
-    """Whether idle clients filled the descriptors: a new connection may then be closed unread."""
+    """Check whether idle connections can have exhausted the node's descriptors.
+
+    The node may then close a new connection without reading the request.
+    """
     spans = view.fault_spans(FaultKind.CLIENTS_CONNECTION_BURST)
     return any(
         span.begin - BURST_BEFORE_S <= sent.at <= span.end + BURST_AFTER_S
@@ -79,7 +91,11 @@
 
 
 def _was_killed(view: HistoryView, sent: RequestSent) -> bool:
-    """Whether the node died before the answer was due, by no decision of its own."""
+    """Check whether SIGKILL ended the node process before the response was due.
+
+    The missing response is then not the node's own decision. A request that was sent more than
+    ``TERM_ARRIVAL_S`` after a preceding SIGTERM is not excused.
+    """
     incarnation = incarnation_of(sent)
     kills = view.signal_times(incarnation, signal.SIGKILL)
     if not kills or kills[0] > sent.at + sent.deadline_s + LATE_ALLOWANCE_S:
@@ -89,8 +105,11 @@
 
 
 def check_rejections(view: HistoryView) -> Iterator[Violation]:
-    """A rejection says that a retry is harmless, and when to retry."""
-    for response in view.of(ResponseReceived):
+    """Check that a rejected request may safely be retried, and that Retry-After is valid.
+
+    If a server may have executed the request, a rejection is valid only if all servers may safely repeat it.
+    """
+    for response in view.events_of(ResponseReceived):
         if response.status not in REJECTION_STATUSES:
             continue
         request_class = view.request_class(view.requests[response.request_id])
@@ -98,7 +117,7 @@
             request_class.idempotency is Idempotency.IDEMPOTENT
             or request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        executed = any(view.has_run(attempt) for attempt in view.attempts_of(response.request_id))
+        executed = any(view.may_have_executed(attempt) for attempt in view.attempts_of(response.request_id))
         if executed and not repeatable_anywhere:
             yield Violation(Rule.REJECTED_AFTER_RUN, response.request_id, f"status {response.status}")
         yield from _check_retry_after(view, response)
@@ -109,15 +128,15 @@
     longest_s = limits.max_retry_after_ms / 1000.0
     wait_s = response.retry_after_s
     if limits.retry_after_allowed and wait_s is None:
-        yield Violation(Rule.RETRY_AFTER, response.request_id, "a refusal without Retry-After")
+        yield Violation(Rule.RETRY_AFTER, response.request_id, "a rejection without Retry-After")
     upper_s = max(longest_s, MIN_RETRY_AFTER_LIMIT_S) + RETRY_AFTER_ROUNDING_S
     if wait_s is not None and not 0.0 < wait_s <= upper_s:
-        yield Violation(Rule.RETRY_AFTER, response.request_id, f"Retry-After {wait_s} of {longest_s}")
+        yield Violation(Rule.RETRY_AFTER, response.request_id, f"Retry-After {wait_s} s, limit {longest_s} s")
 
 
 def check_response_bodies(view: HistoryView) -> Iterator[Violation]:
-    """A response that serves a request is what a server made for it."""
-    for response in view.of(ResponseReceived):
+    """Check that each 200 response has the body that a server of one of its attempts returns."""
+    for response in view.events_of(ResponseReceived):
         if response.status != 200:
             continue
         servers = [attempt.server for attempt in view.attempts_of(response.request_id)]
--- a/fault_soak/oracle/clients.py
+++ b/fault_soak/oracle/clients.py
@@ -10,16 +10,17 @@
 from fault_soak.oracle.violations import Rule, Violation
 
 RELEASED_WITHIN_S = 3.0
+"""The time in seconds within which a node must respond to or disconnect a client that stops mid-request."""
 
 
 def check_incomplete_requests(view: HistoryView) -> Iterator[Violation]:
-    """A client that stops within a request gets an error or a close in time."""
-    released = {event.client: event.at for event in view.of(IncompleteRequestReleased)}
-    for stopped in view.of(IncompleteRequestStopped):
+    """Check that a client that stops within a request gets an error response or is disconnected in time."""
+    released = {event.client: event.at for event in view.events_of(IncompleteRequestReleased)}
+    for stopped in view.events_of(IncompleteRequestStopped):
         subject = f"{stopped.node} client {stopped.client}"
         released_at = released.get(stopped.client)
         if released_at is None:
-            yield Violation(Rule.BAD_CLIENT, subject, "not released")
+            yield Violation(Rule.BAD_CLIENT, subject, "received no error response and was not disconnected")
         elif released_at - stopped.at > RELEASED_WITHIN_S + SOCKET_SLACK_S + view.lag_s:
-            detail = f"released after {released_at - stopped.at:.2f} s"
+            detail = f"received an error response or was disconnected after {released_at - stopped.at:.2f} s"
             yield Violation(Rule.BAD_CLIENT, subject, detail)
--- a/fault_soak/oracle/logs.py
+++ b/fault_soak/oracle/logs.py
@@ -1,4 +1,4 @@
-"""Checks of what nodes write to their logs."""
+"""Checks of the lines that nodes write to their logs."""
 
 from __future__ import annotations
 
@@ -10,29 +10,31 @@
 from fault_soak.oracle.view import HistoryView, IncarnationId, incarnation_of
 from fault_soak.oracle.violations import Rule, Violation
 
-CONNECT_EJECTION = re.compile(r"endpoint_ejected .*outcome=connect_failed")
-WRITTEN_COUNT = re.compile(r"counters_reported .*\bwritten=(\d+)")
-FAULT_LINES = re.compile(
+CONNECT_EJECTION_PATTERN = re.compile(r"endpoint_ejected .*outcome=connect_failed")
+WRITTEN_COUNT_PATTERN = re.compile(r"counters_reported .*\bwritten=(\d+)")
+FAULT_LINE_PATTERN = re.compile(
     r"policy_failed|action_failed|request_failed|request_read_failed|response_deadline_missed|Traceback|invariant_"
 )
 LOCAL_FAULT_EFFECT_S = 0.1
+"""The time in seconds after the end of a node's own fault in which it may still cause an ejection."""
+
 SERVER_FAULT_EFFECT_S = 3.0
-"""How long after the end of a fault an ejection may still be its effect."""
+"""The time in seconds after the end of a server's fault in which it may still cause an ejection."""
 
 
 def check_reported_faults(view: HistoryView) -> Iterator[Violation]:
-    """No node reports a fault of its own."""
-    for logged in view.of(NodeLogged):
-        if FAULT_LINES.search(logged.line):
+    """Check that no node logs an internal error."""
+    for logged in view.events_of(NodeLogged):
+        if FAULT_LINE_PATTERN.search(logged.line):
             yield Violation(Rule.INTERNAL, str(incarnation_of(logged)), logged.line)
 
 
 def check_ejections(view: HistoryView) -> Iterator[Violation]:
-    """No server is ejected for a failure of the node's own machine."""
+    """Check that no node ejects a server because connects failed on the node's own machine."""
     local = view.fault_spans(FaultKind.SYSCALL_CONNECT, FaultKind.SYSCALL_SOCKET)
     remote = view.fault_spans(*SERVER_KINDS)
-    for logged in view.of(NodeLogged):
-        if CONNECT_EJECTION.search(logged.line) is None:
+    for logged in view.events_of(NodeLogged):
+        if CONNECT_EJECTION_PATTERN.search(logged.line) is None:
             continue
         during_local = any(
             span.begin <= logged.at <= span.end + LOCAL_FAULT_EFFECT_S
@@ -45,7 +47,7 @@
 
 
 def check_counters(view: HistoryView) -> Iterator[Violation]:
-    """A node that ended by itself has counted every attempt that servers received from it."""
+    """Check that each node process that exited with code 0 counted every attempt that servers received."""
     for incarnation, start in view.starts.items():
         exited = view.exits.get(incarnation)
         counted = _last_written_count(view, incarnation)
@@ -58,10 +60,13 @@
 
 
 def _last_written_count(view: HistoryView, incarnation: IncarnationId) -> int | None:
-    """The count of written attempts that a process of a node logged last."""
+    """Return the last number of written attempts that a node process logged, or None if it logged none."""
     counted = None
-    for logged in view.of(NodeLogged):
-        if incarnation_of(logged) == incarnation and (found := WRITTEN_COUNT.search(logged.line)) is not None:
+    for logged in view.events_of(NodeLogged):
+        if (
+            incarnation_of(logged) == incarnation
+            and (found := WRITTEN_COUNT_PATTERN.search(logged.line)) is not None
+        ):
             counted = int(found[1])
     return counted
 
@@ -69,6 +74,6 @@
 def _received_attempts(view: HistoryView, start: NodeStarted, exited: NodeExited) -> int:
     return sum(
         1
-        for attempt in view.of(AttemptReceived)
+        for attempt in view.events_of(AttemptReceived)
         if attempt.host == start.address and start.at <= attempt.at <= exited.at
     )
--- a/fault_soak/oracle/nodes.py
+++ b/fault_soak/oracle/nodes.py
@@ -1,4 +1,4 @@
-"""Checks of the nodes' processes: their start, end, service and use of resources."""
+"""Checks of node processes: readiness, exit, forwarding of requests and use of resources."""
 
 from __future__ import annotations
 
@@ -14,40 +14,48 @@
 from fault_soak.oracle.violations import Rule, Violation
 
 READY_WITHIN_S = 10.0
+"""The longest time in seconds from the start of a node process until the node is ready."""
+
 STARVED_S = 4.0
+"""The shortest time in seconds without an attempt that counts as starvation."""
+
 STARVED_REQUESTS = 15
+"""The smallest number of consecutive requests without an attempt that counts as starvation."""
+
 RECOVERY_S = 2.0
-"""How long after a fault of its servers a node may still send nothing."""
+"""The time in seconds after the end of a fault of servers in which a node may still send no attempts."""
 
 
-def check_service(view: HistoryView) -> Iterator[Violation]:
-    """No node stops sending for seconds while there are servers."""
-    answered = {response.request_id for response in view.of(ResponseReceived)}
+def check_starvation(view: HistoryView) -> Iterator[Violation]:
+    """Check that no node sends no attempts for several seconds while servers are available."""
+    answered = {response.request_id for response in view.events_of(ResponseReceived)}
     requests: dict[str, list[RequestSent]] = defaultdict(list)
-    for sent in view.of(RequestSent):
+    for sent in view.events_of(RequestSent):
         if sent.request_id in answered:
             requests[sent.node].append(sent)
     for node, sequence in requests.items():
         for unsent in _runs_without_attempt(view, sequence):
             begin, end = unsent[0].at, unsent[-1].at
-            long = len(unsent) >= STARVED_REQUESTS and end - begin >= STARVED_S
-            if long and not _servers_at_fault(view, begin, end):
-                yield Violation(Rule.STARVED, node, f"{len(unsent)} requests in {end - begin:.1f} s")
+            is_starved = len(unsent) >= STARVED_REQUESTS and end - begin >= STARVED_S
+            if is_starved and not _server_fault_overlaps(view, begin, end):
+                yield Violation(
+                    Rule.STARVED, node, f"{len(unsent)} requests without an attempt in {end - begin:.1f} s"
+                )
 
 
 def _runs_without_attempt(view: HistoryView, requests: list[RequestSent]) -> Iterator[list[RequestSent]]:
-    """The longest consecutive requests that no server received an attempt of."""
+    """Yield each maximal run of consecutive requests for which no server received an attempt."""
 
-    def attempted(sent: RequestSent) -> bool:
+    def has_attempts(sent: RequestSent) -> bool:
         return bool(view.attempts_of(sent.request_id))
 
-    for seen, run in itertools.groupby(requests, attempted):
-        if not seen:
+    for attempted, run in itertools.groupby(requests, has_attempts):
+        if not attempted:
             yield list(run)
 
 
-def _servers_at_fault(view: HistoryView, begin: float, end: float) -> bool:
-    """Whether a fault kept servers or connections to them from working in that time."""
+def _server_fault_overlaps(view: HistoryView, begin: float, end: float) -> bool:
+    """Check whether a fault that affects servers or connections to servers overlaps a time span."""
     spans = view.fault_spans(
         *SERVER_KINDS,
         FaultKind.SYSCALL_CONNECT,
@@ -58,7 +66,7 @@
 
 
 def check_incarnations(view: HistoryView) -> Iterator[Violation]:
-    """No process of a node crashes; each is ready in time, and exits with 0 after SIGTERM."""
+    """Check that each node process is ready in time, does not crash and exits with code 0 after SIGTERM."""
     for incarnation, start in view.starts.items():
         exited = view.exits.get(incarnation)
         if exited is not None:
@@ -74,8 +82,8 @@
     if not terms and not kills:
         detail = f"exit code {exited.code}, {exited.at - start.at:.3f} s after its start"
         yield Violation(Rule.CRASH, str(incarnation), detail)
-    ended_itself = terms and (not kills or exited.at < kills[0])
-    if ended_itself and exited.code != 0 and incarnation in view.ready:
+    exited_after_term = terms and (not kills or exited.at < kills[0])
+    if exited_after_term and exited.code != 0 and incarnation in view.ready:
         yield Violation(Rule.EXIT_CODE, str(incarnation), f"exit code {exited.code}")
 
 
@@ -91,9 +99,9 @@
 
 
 def check_resource_limits(view: HistoryView) -> Iterator[Violation]:
-    """No node exceeds its limits of descriptors and memory."""
+    """Check that no node exceeds its limits of open descriptors and resident memory."""
     worst: dict[IncarnationId, NodeMeasured] = {}
-    for sample in view.of(NodeMeasured):
+    for sample in view.events_of(NodeMeasured):
         if sample.memory_kb > MEMORY_MB * 1000:
             yield Violation(Rule.MEMORY, sample.node, f"{sample.memory_kb} kB")
         incarnation = incarnation_of(sample)
@@ -101,4 +109,4 @@
             worst[incarnation] = sample
     for incarnation, sample in worst.items():
         if sample.descriptors > view.plan.descriptors:
-            yield Violation(Rule.DESCRIPTORS, str(incarnation), f"{sample.descriptors} open")
+            yield Violation(Rule.DESCRIPTORS, str(incarnation), f"{sample.descriptors} open descriptors")
--- a/fault_soak/oracle/servers.py
+++ b/fault_soak/oracle/servers.py
@@ -1,4 +1,4 @@
-"""Checks of what nodes send to servers that drain or warm up."""
+"""Checks of the attempts that nodes send to servers that are draining or warming up."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from fault_soak.oracle.violations import Rule, Violation
 
 MEAN_WORK_FACTOR = 1.2
-"""The mean of the service times that a stub server draws, as a multiple of the planned one."""
+"""The mean of the random service times of a stub server, as a multiple of the planned service time."""
 
 LARGE_BOUND = 30
-"""From here on the count of a window spreads like a normal distribution around its bound."""
+"""The bound from which on the number of attempts in a window is about normally distributed around it."""
 
 
 @dataclass(slots=True)
 class Notifications:
-    """The earliest notification of each generation, by node and server and in the order of generations."""
+    """The earliest notification of each generation, by node and server, in the order of the generations."""
 
     _by_endpoint: dict[tuple[str, str], list[EndpointNotified]] = field(
         default_factory=lambda: defaultdict(list)
     )
 
     @classmethod
-    def of(cls, events: Sequence[EndpointNotified]) -> Notifications:
+    def from_events(cls, events: Sequence[EndpointNotified]) -> Notifications:
         """Index the notifications of a history."""
         earliest: dict[tuple[str, str, int], EndpointNotified] = {}
         for event in events:
@@ -39,18 +39,18 @@
             notifications._by_endpoint[event.node, event.server].append(event)
         return notifications
 
-    def to(self, node: str, server: str) -> Sequence[EndpointNotified]:
-        """What a node was notified of a server."""
+    def for_endpoint(self, node: str, server: str) -> Sequence[EndpointNotified]:
+        """Return the notifications about a server that a node received, in the order of the generations."""
         return self._by_endpoint.get((node, server), ())
 
 
 def check_drains(view: HistoryView) -> Iterator[Violation]:
-    """No attempt is sent to a server past the grace of its drain."""
+    """Check that no attempt reaches a draining or deleted server after the end of the drain grace."""
     grace_s = view.settings.guarantees.drain_grace_ms / 1000.0
-    notifications = Notifications.of(view.of(EndpointNotified))
-    for attempt in view.of(AttemptReceived):
+    notifications = Notifications.from_events(view.events_of(EndpointNotified))
+    for attempt in view.events_of(AttemptReceived):
         node = view.node_of(attempt)
-        states = notifications.to(node, attempt.server)
+        states = notifications.for_endpoint(node, attempt.server)
         for i, state in enumerate(states):
             if state.lifecycle is Lifecycle.SERVING:
                 continue
@@ -64,19 +64,22 @@
 
 
 def _serves_again(later_states: Sequence[EndpointNotified], at: float) -> bool:
-    """Whether a node was notified by then that a drained server is serving again."""
+    """Check whether a node was notified by the given time that a drained server is serving again."""
     return any(state.lifecycle is Lifecycle.SERVING and state.at <= at for state in later_states)
 
 
 def _start_before(view: HistoryView, node: str, at: float) -> float:
-    """When the node's process of that time was started: it counts as notified from then on."""
+    """Return the start time of the latest process of a node at the given time, or 0 if there is none.
+
+    A node process counts as notified of earlier changes from its start on, but not before.
+    """
     starts = [start.at for start in view.starts.values() if start.node == node and start.at <= at]
     return max(starts, default=0.0)
 
 
 def check_slow_start(view: HistoryView) -> Iterator[Violation]:
-    """All nodes together send no more than a server that warms up can bear."""
-    for start in view.of(ServerStarted):
+    """Check that all nodes together do not overload a server that is warming up."""
+    for start in view.events_of(ServerStarted):
         if start.cold:
             yield from _check_warm_up(view, start)
 
@@ -88,18 +91,20 @@
     warm_rate = view.plan.server_slots / (view.plan.work_ms / 1000.0 * MEAN_WORK_FACTOR)
     times = [
         attempt.at
-        for attempt in view.of(AttemptReceived)
+        for attempt in view.events_of(AttemptReceived)
         if attempt.server == start.server and start.at <= attempt.at <= start.at + warm_up_s
     ]
     for i, begin in enumerate(times):
         count = sum(1 for at in times[i:] if at <= begin + window_s)
         capacity = initial + (1 - initial) * (begin - start.at) / warm_up_s
         bound = guarantees.overload_multiple * capacity * warm_rate * window_s
-        if count > bound + _spread(bound):
-            yield Violation(Rule.SLOW_START, start.server, f"{count} in {window_s} s, bound {bound:.1f}")
+        if count > bound + _count_tolerance(bound):
+            yield Violation(
+                Rule.SLOW_START, start.server, f"{count} attempts in {window_s} s, bound {bound:.1f}"
+            )
             return
 
 
-def _spread(bound: float) -> float:
-    """By how much the count of a window may exceed its bound by chance."""
+def _count_tolerance(bound: float) -> float:
+    """Return by how many attempts the count in a window may exceed its bound by chance."""
     return float(2 * bound**0.5 + 2 if bound >= LARGE_BOUND else 3 * bound**0.5 + 3)
--- a/fault_soak/oracle/view.py
+++ b/fault_soak/oracle/view.py
@@ -1,4 +1,4 @@
-"""An indexed, typed view of one history."""
+"""An indexed, typed view of the history of one scenario."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class IncarnationId(NamedTuple):
-    """One process of a node."""
+    """The identity of one process of a node: the node's name and the number of the process."""
 
     node: str
     incarnation: int
@@ -45,13 +45,13 @@
 def incarnation_of(
     event: NodeStarted | NodeReady | NodeExited | NodeSignalled | NodeLogged | NodeMeasured | RequestSent,
 ) -> IncarnationId:
-    """The process of a node that an event is about."""
+    """Return the identity of the node process that an event concerns."""
     return IncarnationId(event.node, event.incarnation)
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSpan:
-    """The time of one fault; end is infinite where the fault never ended."""
+    """The time span in which one fault was active; ``end`` is infinite if the fault did not end."""
 
     begin: float
     end: float
@@ -64,12 +64,13 @@
     Attributes:
         plan: the plan of the scenario.
         settings: the settings of its nodes.
-        lag_s: how inexact the recorded times are, within what is allowed for it.
-        requests: each request by its id, as it was sent last.
-        attempts: the attempts of each request that has some, in the order of their arrival.
-        starts: the start of each process of a node.
-        exits: the end of each process of a node that has ended.
-        ready: when each process of a node was ready for the first time.
+        lag_s: the possible error of the recorded times in seconds, at most ``MAX_LAG_ALLOWANCE_S``.
+        requests: the last time that a client sent each request, by request id.
+        attempts: the attempts of each request in the order of their arrival, by request id; requests without
+            attempts are absent.
+        starts: the start of each node process.
+        exits: the exit of each node process that has ended.
+        ready: the event at which each node process became ready; processes that never did are absent.
     """
 
     def __init__(self, result: ScenarioResult) -> None:
@@ -77,81 +78,89 @@
         self.plan: Plan = result.plan
         self.settings: Settings = result.plan.settings
         self.lag_s = min(result.worst_lag_s, MAX_LAG_ALLOWANCE_S)
-        self.requests: dict[str, RequestSent] = {sent.request_id: sent for sent in self.of(RequestSent)}
+        self.requests: dict[str, RequestSent] = {
+            sent.request_id: sent for sent in self.events_of(RequestSent)
+        }
         self.attempts: dict[str, list[AttemptReceived]] = {}
-        for attempt in self.of(AttemptReceived):
+        for attempt in self.events_of(AttemptReceived):
             self.attempts.setdefault(attempt.request_id, []).append(attempt)
-        self.starts = _by_incarnation(self.of(NodeStarted))
-        self.exits = _by_incarnation(self.of(NodeExited))
-        self.ready = _by_incarnation(self.of(NodeReady))
+        self.starts = _index_by_incarnation(self.events_of(NodeStarted))
+        self.exits = _index_by_incarnation(self.events_of(NodeExited))
+        self.ready = _index_by_incarnation(self.events_of(NodeReady))
         self._classes = {request_class.name: request_class for request_class in self.settings.classes}
         self._locations = {location.server: location for location in self.plan.server_locations()}
-        self._node_at = {start.address: start.node for start in self.of(NodeStarted)}
+        self._node_by_address = {start.address: start.node for start in self.events_of(NodeStarted)}
         self._ends = self._match_ends()
         self._pauses = self.fault_spans(FaultKind.NODE_PAUSE, FaultKind.WRITE_PAUSE)
 
-    def of(self, kind: type[EventType]) -> list[EventType]:
-        """All events of one type."""
-        return self._history.of(kind)
+    def events_of(self, kind: type[EventType]) -> list[EventType]:
+        """Return all events of one type."""
+        return self._history.events_of(kind)
 
-    # Requests and attempts.
+    # Requests and attempts
 
     def request_class(self, sent: RequestSent) -> RequestClass:
-        """The class of a request."""
+        """Return the class of a request."""
         return self._classes[sent.class_name]
 
     def attempts_of(self, request_id: str) -> Sequence[AttemptReceived]:
-        """The attempts of a request, in the order of their arrival."""
+        """Return the attempts of a request in the order of their arrival."""
         return self.attempts.get(request_id, ())
 
     def end_of(self, attempt: AttemptReceived) -> AttemptDone | None:
-        """The end of an attempt, None where the server never finished it."""
+        """Return the end of an attempt, or None if the server did not finish the attempt."""
         return self._ends.get(attempt)
 
-    def has_run(self, attempt: AttemptReceived) -> bool:
-        """Whether the server may have executed an attempt."""
+    def may_have_executed(self, attempt: AttemptReceived) -> bool:
+        """Check whether the server may have executed an attempt."""
         end = self.end_of(attempt)
         return end is None or end.result is not AttemptResult.REJECTED
 
     def node_of(self, attempt: AttemptReceived) -> str:
-        """The node that sent an attempt; empty where its Host header names none."""
-        return self._node_at.get(attempt.host, "")
+        """Return the name of the node that sent an attempt, or "" if its Host header is no node's address."""
+        return self._node_by_address.get(attempt.host, "")
 
     def location(self, server: str) -> ServerLocation:
-        """Where a server runs."""
+        """Return the location of a server."""
         return self._locations[server]
 
     def _match_ends(self) -> dict[AttemptReceived, AttemptDone]:
-        """The end of each attempt that has one; a connection carries one attempt after another."""
+        """Match each attempt with its end; attempts without an end are absent.
+
+        A connection carries one attempt after another, so the ends on a connection are matched in order.
+        """
         unmatched: dict[tuple[int, str], list[AttemptDone]] = defaultdict(list)
-        for done in self.of(AttemptDone):
+        for done in self.events_of(AttemptDone):
             unmatched[done.connection, done.request_id].append(done)
         matched: dict[AttemptReceived, AttemptDone] = {}
-        for attempt in self.of(AttemptReceived):
+        for attempt in self.events_of(AttemptReceived):
             ends = unmatched[attempt.connection, attempt.request_id]
             if ends:
                 matched[attempt] = ends.pop(0)
         return matched
 
-    # Faults.
+    # Faults
 
     def signal_times(self, incarnation: IncarnationId, number: int) -> list[float]:
-        """When a signal was sent to a process of a node."""
-        signals = self.of(NodeSignalled)
+        """Return the times at which a signal was sent to a node process."""
+        signals = self.events_of(NodeSignalled)
         return [s.at for s in signals if incarnation_of(s) == incarnation and s.signal == number]
 
     def fault_spans(self, *kinds: FaultKind) -> list[FaultSpan]:
-        """The faults of some kinds, in the order in which they began."""
+        """Return the spans of the faults of the given kinds, in the order in which the faults began."""
         names = {kind.value for kind in kinds}
-        ends = {ended.index: ended.at for ended in self.of(FaultEnded)}
+        ends = {ended.index: ended.at for ended in self.events_of(FaultEnded)}
         return [
             FaultSpan(began.at, ends.get(began.index, float("inf")), began.target)
-            for began in self.of(FaultBegan)
+            for began in self.events_of(FaultBegan)
             if began.kind in names
         ]
 
     def pause_allowance_s(self, attempt: AttemptReceived) -> float:
-        """What to add to the times of an attempt whose node was paused before it wrote."""
+        """Return the seconds to add to an attempt's time limits because its node may have been paused.
+
+        The result is 0 if the node was not paused before it wrote the attempt.
+        """
         node = self.node_of(attempt)
         paused = any(
             span.begin <= attempt.at <= span.end + PAUSE_ALLOWANCE_S
@@ -161,5 +170,5 @@
         return PAUSE_ALLOWANCE_S + 0.01 if paused else 0.0
 
 
-def _by_incarnation(events: list[IncarnationEvent]) -> dict[IncarnationId, IncarnationEvent]:
+def _index_by_incarnation(events: list[IncarnationEvent]) -> dict[IncarnationId, IncarnationEvent]:
     return {incarnation_of(event): event for event in events}
--- a/fault_soak/reporting.py
+++ b/fault_soak/reporting.py
@@ -18,14 +18,14 @@
 def report_of(result: ScenarioResult) -> Report:
     """The report of a scenario that has run."""
     history = result.history
-    statuses = Counter(response.status for response in history.of(ResponseReceived))
+    statuses = Counter(response.status for response in history.events_of(ResponseReceived))
     return Report(
         seed=result.plan.seed,
-        requests=len(history.of(RequestSent)),
+        requests=len(history.events_of(RequestSent)),
         statuses=" ".join(f"{status}:{count}" for status, count in sorted(statuses.items())),
         worst_lag_ms=round(1000.0 * result.worst_lag_s),
         shim_loaded=result.shim_loaded,
-        faults=tuple(f"{f.kind} {f.target} fired={f.fired}" for f in history.of(FaultEnded)),
+        faults=tuple(f"{f.kind} {f.target} fired={f.fired}" for f in history.events_of(FaultEnded)),
         pairs=tuple(_overlapping_pairs(result.plan)),
         violations=tuple(str(violation) for violation in find_violations(result)),
     )
--- a/tests/fault_soak/test_clients.py
+++ b/tests/fault_soak/test_clients.py
@@ -65,8 +65,8 @@
     # The request that comes first is complete; nothing follows it, as its connection is closed.
     await clients.faulty.stop_within_request(node, first=False)
     server.close()
-    (sent,), (missing,) = history.of(RequestSent), history.of(ResponseMissing)
-    (ended,) = history.of(FaultEnded)
+    (sent,), (missing,) = history.events_of(RequestSent), history.events_of(ResponseMissing)
+    (ended,) = history.events_of(FaultEnded)
     assert ended.at < sent.at
     assert missing.closed and not missing.unread_allowed
     result = ScenarioResult(plan, history, worst_lag_s=0.0, shim_loaded=True)
@@ -100,6 +100,6 @@
     monkeypatch.setattr("fault_soak.clients.exchange.asyncio.sleep", pause_until_piece_is_read)
     await clients.faulty.stop_within_request(node, first=False)
     server.close()
-    (sent,) = history.of(RequestSent)
+    (sent,) = history.events_of(RequestSent)
     assert len(read_at) == len(pieces)
     assert read_at[-2] < sent.at < read_at[-1]
