--- a/fault_soak/shim.py
+++ b/fault_soak/shim.py
@@ -1,4 +1,4 @@
-"""Builds the library of failing system calls, and controls it in running nodes."""
+"""The shim, a preloaded library that makes system calls of nodes fail: its build and its control."""
 
 from __future__ import annotations
 
@@ -15,7 +15,12 @@
 
 
 class Failure(IntEnum):
-    """The failures, in the order of the library's table."""
+    """The failures that the shim can cause; a value is the index of the failure in the shim's table.
+
+    ACCEPT, CONNECT, SOCKET, OPEN and READ make the system call fail with an error. SHORT limits reads and
+    writes to one byte, INTERRUPT interrupts waits for events, PAUSE pauses the process before it writes, and
+    CLOCK shifts the wall clock.
+    """
 
     ACCEPT = 0
     CONNECT = 1
@@ -39,10 +44,11 @@
     Failure.PAUSE: (150_000,),
     Failure.CLOCK: (0,),
 }
+"""The possible errors of each failure: values of errno, for PAUSE a time in microseconds, or 0 if unused."""
 
 
 def build_shim(directory: Path) -> Path | None:
-    """Compile the library; None where the machine has no C compiler."""
+    """Compile the shim and return its path, or None if the machine has no C compiler."""
     compiler = shutil.which("cc")
     if compiler is None:
         return None
@@ -53,7 +59,7 @@
 
 
 class ShimControl:
-    """The table of failures that one node's library reads."""
+    """Control of the shim in one node, through the table of failures that the shim maps from a file."""
 
     def __init__(self, path: Path) -> None:
         path.write_bytes(bytes(_ENTRY.size * len(Failure)))
@@ -62,16 +68,22 @@
         self.path = path
 
     def set(self, failure: Failure, thousandths: int, error: int) -> None:
-        """Have a fraction of the calls fail from now on, in thousandths."""
+        """Make a fraction of the calls fail from now on.
+
+        Args:
+            failure: the failure to cause.
+            thousandths: the number of calls in a thousand that fail; for CLOCK the shift in seconds.
+            error: the errno of the failing calls; for PAUSE the length of a pause in microseconds.
+        """
         _, _, fired, unused = self._read(failure)
         self._table[self._slice(failure)] = _ENTRY.pack(thousandths, error, fired, unused)
 
     def clear(self, failure: Failure) -> None:
-        """Have no call fail any more."""
+        """Stop causing a failure."""
         self.set(failure, 0, 0)
 
     def fired(self, failure: Failure) -> int:
-        """How many calls have failed."""
+        """Return the number of calls in which a failure was caused."""
         return self._read(failure)[2]
 
     def _read(self, failure: Failure) -> tuple[int, int, int, int]:
