--- a/fault_soak/__init__.py
+++ b/fault_soak/__init__.py
@@ -1,9 +1,11 @@
-"""A randomized fault test: real nodes on loopback, between stubs that record what happens.
+"""A randomized fault test that runs real nodes on loopback between stubs that record all events.
 
-Nothing here imports the policy or the proxy: the invariants are functions of the recorded history alone.
+No module of this package imports the policy or the proxy of the load balancer, so that the invariants depend
+on the recorded history alone.
 
-``drawing`` draws a ``plan`` from a seed, and ``scenario`` runs it. ``nodes`` starts the real nodes;
-``servers``, ``proxy``, ``discovery`` and ``clients`` are the stubs around them, and ``injection`` has them
-misbehave. All of them write one ``history``, which the ``oracle`` judges and ``reporting`` sums up. ``proof``
-breaks the guards of ``mutations`` to prove that the oracle notices.
+``drawing`` draws a random ``plan`` from a seed, and ``scenario`` runs the plan. ``nodes`` starts the real
+nodes. ``servers``, ``proxy``, ``discovery`` and ``clients`` are the stubs around the nodes, and ``injection``
+makes nodes and stubs fail. All of them record events in one ``history``. The ``oracle`` checks the history,
+and ``reporting`` creates and prints the report. ``proof`` breaks the guards that are listed in ``mutations``,
+one at a time, to prove that the oracle detects each broken guard.
 """
--- a/fault_soak/__main__.py
+++ b/fault_soak/__main__.py
@@ -1,6 +1,7 @@
 """Run the fault test: ``python -m fault_soak --seeds 1-20``.
 
-A seed runs the same scenario each time; ``--seeds 7 --faults 2,5`` runs two faults of its schedule alone.
+A seed always gives the same plan. ``--seeds 7 --faults 2,5`` runs the plan of seed 7 with only the faults
+that have the indices 2 and 5 in its schedule.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from fault_soak.plan import Plan
 from fault_soak.proof import prove
 from fault_soak.report import Report
-from fault_soak.reporting import print_report, print_summary, report_of
+from fault_soak.reporting import create_report, print_report, print_summary
 from fault_soak.scenario import run_scenario
 from fault_soak.serialization import report_to_json
 from fault_soak.subprocesses import ROOT, RunOptions, run_in_process
@@ -34,17 +35,17 @@
     """The options of the command line.
 
     Attributes:
-        seeds: the seeds to run.
-        kinds: the kinds of faults that are drawn.
-        node_count: the number of nodes; 0 for the number that is drawn.
-        faults: the indexes of the faults to run; all where it is empty.
+        seeds: the seeds of the scenarios to run.
+        kinds: the kinds of faults from which the faults of a scenario are drawn.
+        node_count: the number of nodes; 0 for the random number of the plan.
+        faults: the indices of the faults to run; if empty, all faults are run.
         tree: the checkout whose nodes are run.
-        parallel: scenarios at a time.
-        report_path: the file of a report, or the directory of several.
-        prove: break one guard at a time and check that it is noticed.
-        guard: with prove, only guards whose names contain this.
-        log: print the logs of the nodes.
-        shrink: look for the fewest faults that break a rule.
+        parallel: the number of scenarios that run at a time.
+        report_path: the file of the report of one seed, or the directory of the reports of several seeds.
+        prove: whether to break one guard at a time and check that the fault test detects it.
+        guard: with ``prove``, text that the names of the tested guards contain.
+        log: whether to print the logs of the nodes.
+        shrink: whether to remove faults from the schedule as long as a rule is still broken.
     """
 
     seeds: tuple[int, ...]
@@ -61,7 +62,11 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the scenarios of the seeds; returns 1 where an invariant broke."""
+    """Run the fault test with the options of the command line and return the exit code.
+
+    The exit code is 1 if a rule was broken or a run failed. With ``--prove`` it is 1 if a broken guard was
+    not detected.
+    """
     options = _parse(arguments)
     if options.prove:
         return 0 if prove(options.seeds, options.guard, options.parallel) else EXIT_VIOLATIONS
@@ -77,16 +82,16 @@
 def _parse(arguments: list[str] | None) -> Options:
     parser = argparse.ArgumentParser(prog="python -m fault_soak", description=__doc__)
     parser.add_argument("--seeds", default="1", help="a seed, or a range such as 1-20")
-    parser.add_argument("--kinds", default="", help="draw faults of these kinds alone: node-term,link-late")
-    parser.add_argument("--nodes", type=int, default=0, help="run so many nodes, which share the load")
-    parser.add_argument("--faults", default="", help="run these faults of the schedule alone: 2,5")
+    parser.add_argument("--kinds", default="", help="only draw faults of these kinds: node-term,link-late")
+    parser.add_argument("--nodes", type=int, default=0, help="the number of nodes, which share the load")
+    parser.add_argument("--faults", default="", help="only run the faults with these indices: 2,5")
     parser.add_argument("--tree", type=Path, default=ROOT, help="the checkout whose nodes are run")
-    parser.add_argument("--parallel", type=int, default=2, help="scenarios at a time")
-    parser.add_argument("--json", type=Path, help="write the report here; for several seeds a directory")
-    parser.add_argument("--prove", action="store_true", help="break one guard at a time, and see each caught")
-    parser.add_argument("--guard", default="", help="with --prove: the guards whose names contain this")
-    parser.add_argument("--log", action="store_true", help="print the nodes' logs")
-    parser.add_argument("--shrink", action="store_true", help="look for the fewest faults that break a rule")
+    parser.add_argument("--parallel", type=int, default=2, help="the number of scenarios that run at a time")
+    parser.add_argument("--json", type=Path, help="the report file, or the directory for several seeds")
+    parser.add_argument("--prove", action="store_true", help="check that each guard is detected when broken")
+    parser.add_argument("--guard", default="", help="with --prove: only test guards whose names contain this")
+    parser.add_argument("--log", action="store_true", help="print the logs of the nodes")
+    parser.add_argument("--shrink", action="store_true", help="remove faults while a rule is still broken")
     values = parser.parse_args(arguments)
     return Options(
         seeds=tuple(_parse_seeds(values.seeds)),
@@ -114,12 +119,12 @@
 
 
 def _run_all(options: Options) -> list[Report]:
-    """Run each seed in a process of its own, several at a time."""
+    """Run the scenario of each seed in a separate process, several at a time, and print a summary."""
     run_options = RunOptions(options.tree, options.kinds, options.node_count, options.report_path)
 
     def run(seed: int) -> Report:
         report = run_in_process(seed, run_options)
-        if not report.soak_failed:
+        if not report.fault_test_failed:
             print_report(report)
         return report
 
@@ -130,8 +135,8 @@
 
 
 def _run_one(seed: int, options: Options) -> Report:
-    result = asyncio.run(run_scenario(_plan(seed, options), options.tree))
-    report = report_of(result)
+    result = asyncio.run(run_scenario(_build_plan(seed, options), options.tree))
+    report = create_report(result)
     if options.report_path:
         options.report_path.write_text(json.dumps(report_to_json(report)))
     _print_events(result.history, logs=options.log)
@@ -139,7 +144,7 @@
     return report
 
 
-def _plan(seed: int, options: Options) -> Plan:
+def _build_plan(seed: int, options: Options) -> Plan:
     plan = draw_plan(seed, options.kinds)
     if options.node_count:
         plan = plan.with_nodes(options.node_count)
@@ -156,7 +161,10 @@
 
 
 def _shrink(plan: Plan, tree: Path) -> Plan:
-    """Leave out one fault after another as long as a rule of the same name still breaks."""
+    """Return a plan without the faults that are not needed to break one of the rules that the plan breaks.
+
+    Try to remove one fault after another, and keep a fault if no such rule is broken without it.
+    """
     rules = _broken_rules(plan, tree)
     for fault in plan.faults:
         smaller = plan.with_faults(frozenset(i for i, f in enumerate(plan.faults) if f is not fault))
--- a/fault_soak/discovery.py
+++ b/fault_soak/discovery.py
@@ -1,4 +1,7 @@
-"""Stub discovery: the state of the fleet, and an agent for each node that forwards it, late or never."""
+"""Stub discovery: the state of all servers, and an agent for each node that forwards this state to the node.
+
+Faults can delay an agent, or stop it from forwarding changes.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,17 @@
 from fault_soak.serialization import endpoint_list_to_json
 
 HEARTBEAT_S = 2.0
+
 SILENT_WATCH_NOTIFIED_S = 6.0
+"""The time in seconds after which a node counts as notified of a change that its watch did not deliver."""
+
 MOVED_NOTIFIED_S = 4.0
+"""The time in seconds after a move of the agent's address before which no change counts as notified."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of the endpoint list: the row of one server from this generation on."""
+    """A change of the endpoint list: the row of one server from a generation on."""
 
     generation: int
     row: EndpointRow
@@ -29,19 +36,19 @@
 
 @dataclass(slots=True)
 class FleetState:
-    """What discovery knows: all changes so far, in order."""
+    """The state of all servers that discovery knows, as all changes so far in their order."""
 
     changes: list[Change] = field(default_factory=list)
 
     def announce(self, row: EndpointRow, lifecycle: Lifecycle | None = None) -> Change:
-        """Record a change of one server."""
+        """Record and return a change of one server; ``lifecycle``, if given, replaces that of the row."""
         state = row if lifecycle is None else replace(row, lifecycle=lifecycle)
         change = Change(len(self.changes) + 1, state)
         self.changes.append(change)
         return change
 
     def complete_list(self, generation: int) -> EndpointList:
-        """The complete list as of a generation."""
+        """Return the complete endpoint list of a generation."""
         rows: dict[str, EndpointRow] = {}
         for change in self.changes[:generation]:
             rows[change.row.server] = change.row
@@ -49,27 +56,27 @@
         return EndpointList(generation, complete=True, rows=listed)
 
     def changes_since(self, known: int, generation: int) -> EndpointList:
-        """The rows that changed after one generation, up to another."""
+        """Return the rows that changed after the generation ``known``, up to ``generation``."""
         rows = tuple(change.row for change in self.changes[known:generation])
         return EndpointList(generation, complete=False, rows=rows)
 
 
 @dataclass(slots=True)
 class Agent:
-    """The agent of one node, which serves watches at its present address.
+    """The discovery agent of one node, which serves watches at its current address.
 
     Attributes:
-        node: the node's name.
-        fleet: what discovery knows.
-        history: where notifications are recorded.
-        rng: the source of its random choices.
-        pushed: the node is sent changes as they come; otherwise it polls.
-        generation: the last generation that the agent has received.
-        down: it receives nothing, and serves no watch.
-        pieces: it sends lists indented and cut in two.
-        port: its present port.
-        fired: how often a fault of it took effect.
-        notified_from: no change counts as notified before this time.
+        node: the name of the node.
+        fleet: the state of the servers that discovery knows.
+        history: the history in which notifications are recorded.
+        rng: the source of the agent's random choices.
+        pushed: whether changes are pushed to the node; otherwise the node polls.
+        generation: the latest generation that the agent has received.
+        down: whether discovery is down, so that the agent receives nothing and serves no watch.
+        split_lists: whether the agent sends lists indented and split into two chunks.
+        port: the current port of the agent.
+        fired: the number of times that faults of the agent took effect.
+        notified_from: the earliest time at which a received change counts as notified, in monotonic seconds.
     """
 
     node: str
@@ -79,7 +86,7 @@
     pushed: bool
     generation: int = 0
     down: bool = False
-    pieces: bool = False
+    split_lists: bool = False
     port: int = 0
     fired: int = 0
     notified_from: float = 0.0
@@ -94,15 +101,15 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def move(self) -> asyncio.Server | None:
-        """Listen at a new address; returns the old listener, for the caller to close later."""
+        """Listen at a new address and return the old listener, which the caller must close later."""
         old = self._server
-        self._silenced |= self._watches  # watches at the old address receive nothing any more
+        self._silenced |= self._watches  # watches at the old address receive no further changes
         await self.open()
         self.notified_from = History.now() + MOVED_NOTIFIED_S
         return old
 
     def close(self) -> None:
-        """Stop listening, and close all watches."""
+        """Stop listening and close all watches."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._watches):
@@ -115,24 +122,24 @@
         changes = self.fleet.changes[self.generation : generation]
         self.generation = generation
         now = History.now()
-        late = 0.0 if self.pushed else SILENT_WATCH_NOTIFIED_S
-        notified_at = max(now + late, self.notified_from)
+        delay_s = 0.0 if self.pushed else SILENT_WATCH_NOTIFIED_S
+        notified_at = max(now + delay_s, self.notified_from)
         for change in changes:
             self._record(notified_at, change)
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
     def set_down(self, down: bool) -> None:
-        """Lose discovery, or get it back with all changes since."""
+        """Set whether discovery is down; when it is up again, receive all changes that were missed."""
         self.down = down
         if not down:
             self.receive(len(self.fleet.changes))
 
     def silence_watches(self) -> None:
-        """Send nothing any more on the watches that are open now."""
+        """Send nothing more on the watches that are open now, and leave them open."""
         self.fired += len(self._watches)
         self._silenced |= self._watches
-        # A node notices a silent watch late, so changes count as notified later.
+        # A node detects a silent watch only after a while, so changes count as notified later.
         self.notified_from = max(self.notified_from, History.now() + SILENT_WATCH_NOTIFIED_S)
 
     def reset_watches(self) -> None:
@@ -148,14 +155,14 @@
                 message = await read_message(reader)
                 target = message.target
                 known = int(target.rpartition("from=")[2]) if "from=" in target else 0
-                await self._until_up()
+                await self._wait_until_up()
                 await self._watch(writer, known)
         finally:
             self._watches.discard(writer)
             self._silenced.discard(writer)
             writer.close()
 
-    async def _until_up(self) -> None:
+    async def _wait_until_up(self) -> None:
         while self.down:
             await asyncio.sleep(0.02)
 
@@ -178,7 +185,7 @@
                     _write_chunk(writer, b"\n")
 
     def _record_written(self, known: int, generation: int) -> None:
-        """Record that a node was notified of all that has been written to it."""
+        """Record that the node was notified of the changes that have been written to its watch."""
         for change in self.fleet.changes[known:generation]:
             self._record(History.now(), change)
 
@@ -193,15 +200,15 @@
 
     async def _send(self, writer: asyncio.StreamWriter, endpoints: EndpointList) -> None:
         content = endpoint_list_to_json(endpoints)
-        text = json.dumps(content, indent=2 if self.pieces else None).encode() + b"\n"
-        if not self.pieces:
+        text = json.dumps(content, indent=2 if self.split_lists else None).encode() + b"\n"
+        if not self.split_lists:
             _write_chunk(writer, text)
             return
         self.fired += 1
-        cut = self.rng.randrange(1, len(text))
-        _write_chunk(writer, text[:cut])
+        split_at = self.rng.randrange(1, len(text))
+        _write_chunk(writer, text[:split_at])
         await asyncio.sleep(0.03)
-        _write_chunk(writer, text[cut:])
+        _write_chunk(writer, text[split_at:])
 
 
 def _write_chunk(writer: asyncio.StreamWriter, text: bytes) -> None:
--- a/fault_soak/drawing.py
+++ b/fault_soak/drawing.py
@@ -1,4 +1,7 @@
-"""Draws the plan of a scenario from its seed; the order of the draws belongs to the plan of a seed."""
+"""The random drawing of the plan of a scenario from a seed.
+
+A seed always gives the same plan. A change to the order of the random draws changes the plans of all seeds.
+"""
 
 from __future__ import annotations
 
@@ -20,25 +23,32 @@
 )
 
 COLD_START_FRACTION = 0.15
-MAX_LOAD_PER_S = 150.0  # what the fault test's own process can handle while others run
+MAX_LOAD_PER_S = 150.0  # requests per second that the fault test can handle while other scenarios run
 MIN_NODE_LOAD_PER_S = 3.0
-MAX_WORK_FRACTION = 0.25  # of the latency objective: longer work could not be served in time
-SETTLE_S = 1.0  # before the first fault
-FAULT_LENGTH_S = (0.2, 3.0)
-FURTHER_FAULTS = (5, 11)
-LATEST_FORCED_S = SCENARIO_S - 5.0
-LATEST_FREE_S = SCENARIO_S - 3.0
-LATEST_BEGIN_S = SCENARIO_S - 2.5
-END_MARGIN_S = 0.1  # between the end of a fault and that of the scenario
+MAX_WORK_FRACTION = 0.25  # of the latency objective: longer work could not be completed in time
+EARLIEST_BEGIN_S = 1.0  # no fault begins before this time
+FAULT_LENGTH_S = (0.2, 3.0)  # minimum and maximum
+ADDITIONAL_FAULTS = (5, 11)  # minimum and maximum number of faults besides the forced pair
+LATEST_FORCED_S = SCENARIO_S - 5.0  # the latest beginning of the first fault of the forced pair
+LATEST_FREE_S = SCENARIO_S - 3.0  # the latest beginning that is drawn independently of other faults
+LATEST_BEGIN_S = SCENARIO_S - 2.5  # the latest beginning of any additional fault
+END_MARGIN_S = 0.1  # the shortest time between the end of a fault and the end of the scenario
 PAIR_STRIDE = 97
-"""Coprime to the number of all pairs of kinds, so that consecutive seeds reach each pair; large, so that
-the pairs of neighbouring seeds differ in both kinds."""
+"""The distance in ``ALL_PAIRS`` between the pairs of kinds of consecutive seeds.
+
+The distance is coprime to the number of all pairs, so that consecutive seeds reach each pair. It is large, so
+that the pairs of consecutive seeds differ in both kinds.
+"""
 
 ALL_PAIRS = tuple(itertools.combinations(FaultKind, 2))
 
 
 def draw_plan(seed: int, kinds: frozenset[FaultKind] = frozenset(FaultKind)) -> Plan:
-    """The plan of a seed; consecutive seeds force consecutive pairs of kinds to overlap."""
+    """Draw the plan of a seed with faults of the given kinds.
+
+    Each plan contains a pair of faults that overlap. The kinds of this pair follow from the seed, so that
+    consecutive seeds cover all pairs of kinds.
+    """
     rng = random.Random(seed)
     node_count = rng.choice((3, 4, 5, 6))
     server_count = rng.choice((1, 2, 4, 6, 8)) if rng.random() < 0.5 else rng.choice((4, 6))
@@ -62,13 +72,13 @@
         server_slots=server_slots,
         client_leave_fraction=rng.choice((0.0, 0.1, 0.4)),
         cold_start=cold_start,
-        faults=ScheduleDraw(rng, node_count, server_count, kinds).draw(seed),
+        faults=ScheduleGenerator(rng, node_count, server_count, kinds).draw(seed),
     )
 
 
 @dataclass(frozen=True, slots=True)
-class ScheduleDraw:
-    """Draws the faults of a scenario."""
+class ScheduleGenerator:
+    """A generator of the schedule of faults of a scenario."""
 
     rng: random.Random
     node_count: int
@@ -76,11 +86,14 @@
     kinds: frozenset[FaultKind]
 
     def draw(self, seed: int) -> tuple[Fault, ...]:
-        """Two faults that overlap, of the pair of kinds that belongs to the seed, and others near to them."""
+        """Draw a pair of overlapping faults, whose kinds follow from the seed, and additional faults.
+
+        The additional faults often begin near the beginning or end of another fault.
+        """
         rng = self.rng
         usable = sorted(self.kinds, key=lambda kind: kind.value)
         faults = self._forced_pair(seed)
-        for _ in range(rng.randint(*FURTHER_FAULTS)):
+        for _ in range(rng.randint(*ADDITIONAL_FAULTS)):
             anchor = rng.choice(faults)
             kind = rng.choice(usable)
             faults.append(self._fault(kind, self._begin_near(anchor)))
@@ -90,7 +103,7 @@
         rng = self.rng
         pairs = [pair for pair in ALL_PAIRS if self.kinds.issuperset(pair)]
         first_kind, second_kind = pairs[(seed * PAIR_STRIDE) % len(pairs)]
-        first = self._fault(first_kind, rng.uniform(SETTLE_S, LATEST_FORCED_S))
+        first = self._fault(first_kind, rng.uniform(EARLIEST_BEGIN_S, LATEST_FORCED_S))
         offset_s = rng.choice((0.0, 0.02, rng.uniform(0.0, first.length_s)))
         second = self._fault(second_kind, first.begin_s + offset_s)
         target = first.target
@@ -99,11 +112,11 @@
         return [first, replace(second, target=target)]
 
     def _begin_near(self, anchor: Fault) -> float:
-        """The beginning of a fault at an edge of another one, or anywhere."""
+        """Draw the beginning of a fault: near the beginning or end of another fault, or at any time."""
         rng = self.rng
         end_s = anchor.begin_s + anchor.length_s
-        begin_s = rng.choice((anchor.begin_s, end_s, rng.uniform(SETTLE_S, LATEST_FREE_S)))
-        return min(max(SETTLE_S, begin_s + rng.choice((-0.05, 0.0, 0.05, 0.3))), LATEST_BEGIN_S)
+        begin_s = rng.choice((anchor.begin_s, end_s, rng.uniform(EARLIEST_BEGIN_S, LATEST_FREE_S)))
+        return min(max(EARLIEST_BEGIN_S, begin_s + rng.choice((-0.05, 0.0, 0.05, 0.3))), LATEST_BEGIN_S)
 
     def _fault(self, kind: FaultKind, begin_s: float) -> Fault:
         length_s = self.rng.uniform(*FAULT_LENGTH_S)
--- a/fault_soak/endpoints.py
+++ b/fault_soak/endpoints.py
@@ -10,7 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLocation:
-    """Where a server runs; its zone and its cell share a memory of idempotency keys each."""
+    """The zone and the cell in which a server runs.
+
+    The scope of a request class determines which servers remember idempotency keys together: the servers of a
+    zone, of a cell, or all servers.
+    """
 
     server: str
     zone: str
@@ -18,11 +22,11 @@
 
     @property
     def machine_type(self) -> str:
-        """The machine type, which alternates from cell to cell."""
+        """The machine type of the server, which alternates from cell to cell."""
         return "m1" if self.cell % 2 == 0 else "m2"
 
     def shares_keys_with(self, other: ServerLocation, scope: DeduplicationScope) -> bool:
-        """Whether two servers share their memory of idempotency keys."""
+        """Check whether two servers share their memory of idempotency keys in a deduplication scope."""
         if scope is DeduplicationScope.ZONE:
             return self.zone == other.zone
         return scope is DeduplicationScope.ALL or self.cell == other.cell
@@ -30,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRow:
-    """A server's row in the endpoint list; started_unix_ms is 0 for a server that started long ago."""
+    """The row of a server in the endpoint list.
+
+    ``started_unix_ms`` is the start of the server in Unix milliseconds, or 0 if the server started long ago.
+    """
 
     location: ServerLocation
     address: str
@@ -45,7 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """What a watch receives as of a generation: the complete list, or the rows that have changed."""
+    """The content of one message of a watch: the endpoint list of a generation, or the changes up to it.
+
+    ``rows`` contains all endpoints if ``complete`` is true, and otherwise only the rows that have changed.
+    """
 
     generation: int
     complete: bool
--- a/fault_soak/faults.py
+++ b/fault_soak/faults.py
@@ -1,4 +1,4 @@
-"""The kinds of faults, and a fault of a schedule."""
+"""The kinds of faults, and the faults of a schedule."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FaultKind(Enum):
-    """What can go wrong in a scenario; the value is the name in reports."""
+    """A kind of fault; the value is the name of the kind on the command line and in reports."""
 
     NODE_TERM = "node-term"
     NODE_KILL = "node-kill"
@@ -54,14 +54,25 @@
     for kind in FaultKind
     if kind.value.startswith(("node-", "reload-", "log-", "watch-", "list-", "syscall-", "write-", "clock-"))
 )
+"""The kinds of faults whose target is a node or the agent of a node."""
+
 SERVER_KINDS = frozenset(kind for kind in FaultKind if kind.value.startswith(("server-", "link-")))
-AIMED_CLIENT_KINDS = frozenset({FaultKind.CLIENTS_CONNECTION_BURST, FaultKind.CLIENTS_PIPELINE})
-"""Faults of clients that are aimed at one node."""
+"""The kinds of faults whose target is a server or the network in front of a server."""
+
+SINGLE_NODE_CLIENT_KINDS = frozenset({FaultKind.CLIENTS_CONNECTION_BURST, FaultKind.CLIENTS_PIPELINE})
+"""The kinds of faults in which clients misbehave towards one node, which is the target."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault of a schedule; target is the index of a node or server, times are seconds of the scenario."""
+    """A fault of a schedule.
+
+    Attributes:
+        kind: the kind of the fault.
+        begin_s: the beginning of the fault, in seconds since the start of the load.
+        length_s: the length of the fault in seconds.
+        target: the index of the node or server that the fault affects.
+    """
 
     kind: FaultKind
     begin_s: float
@@ -69,5 +80,5 @@
     target: int
 
     def overlaps(self, other: Fault) -> bool:
-        """Whether both are active at the same time for a while."""
+        """Check whether the time spans of two faults overlap."""
         return self.begin_s < other.begin_s + other.length_s and other.begin_s < self.begin_s + self.length_s
--- a/fault_soak/history.py
+++ b/fault_soak/history.py
@@ -1,4 +1,4 @@
-"""The history of one scenario: what stubs sent, received and announced, on one monotonic clock."""
+"""The history of one scenario: the events that stubs and node processes cause, on one monotonic clock."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended at the server."""
+    """The result of an attempt at the server."""
 
     SERVED = "served"
+    """The server executed the request and wrote a response, which may be malformed."""
+
     ERROR = "error"
+    """The server wrote an error response and may have executed the request."""
+
     REJECTED = "rejected"
     """The server declared that it did not execute the request."""
 
     ABANDONED = "abandoned"
-    """The connection closed before an answer was written."""
+    """The connection was closed before the server wrote a response."""
 
 
 class Lifecycle(Enum):
@@ -33,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEvent:
-    """An event; at is in monotonic seconds."""
+    """An event of a history; ``at`` is its time in monotonic seconds."""
 
     at: float
 
@@ -43,13 +47,14 @@
     """A client wrote the last byte of a request.
 
     Attributes:
-        first_byte_at: when it began to write; the node may read from then on.
-        request_id: the id that it carries.
-        node: the node's name.
-        incarnation: which of the node's processes accepted the connection.
-        class_name: its class.
-        deadline_s: the time that the client allows for the response.
-        resent: it was sent before, on a connection that was closed before it was read.
+        first_byte_at: the time when the client began to write; the node may read from then on.
+        request_id: the id of the request.
+        node: the name of the node.
+        incarnation: the number of the node process that accepted the connection.
+        class_name: the request class.
+        deadline_s: the time in seconds that the client allows for the response.
+        resent: whether the client sent the request before, on a connection that was closed before the node
+            read the request.
     """
 
     first_byte_at: float
@@ -63,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft(HistoryEvent):
-    """A client closed its connection while it waited for a response."""
+    """A client closed its connection while waiting for a response."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived(HistoryEvent):
-    """A client read the last byte of a response; retry_after_s is None without that header."""
+    """A client read the last byte of a response; ``retry_after_s`` is None without a Retry-After header."""
 
     request_id: str
     status: int
@@ -80,12 +85,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseMissing(HistoryEvent):
-    """A client's wait ended without a complete response.
+    """A client stopped waiting without having received a complete response.
 
     Attributes:
         request_id: the id of the request.
-        closed: the node closed the connection; otherwise nothing came until the client gave up.
-        unread_allowed: the node may have closed the connection without reading the request.
+        closed: whether the node closed the connection; otherwise the client's wait timed out.
+        unread_allowed: whether the node may close the connection without reading the request.
     """
 
     request_id: str
@@ -95,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteRequestStopped(HistoryEvent):
-    """A faulty client stopped within a request, and keeps its connection open."""
+    """A faulty client stopped writing within a request and keeps its connection open."""
 
     client: int
     node: str
@@ -104,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteRequestReleased(HistoryEvent):
-    """The faulty client received an error response, or its connection was closed."""
+    """A faulty client that had stopped within a request received an error response or was disconnected."""
 
     client: int
 
@@ -114,12 +119,13 @@
     """A server read the last byte of an attempt.
 
     Attributes:
-        first_byte_at: when its first byte came.
-        server: the server's id.
-        connection: the server's number for the connection.
-        host: the Host header, which names the node's listening address.
-        request_id: the id that it carries.
-        forwarded_deadline_s: the time that the node allows for it; None without a valid header.
+        first_byte_at: the time when the server read the first byte of the attempt.
+        server: the name of the server.
+        connection: the number of the connection, unique among the connections of all stub servers.
+        host: the Host header, which contains the node's listening address.
+        request_id: the id of the request.
+        forwarded_deadline_s: the time in seconds that the node allows for the attempt; None without a valid
+            X-Deadline header.
     """
 
     first_byte_at: float
@@ -132,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDone(HistoryEvent):
-    """An attempt ended at the server; an attempt without an end is still in flight when the history ends."""
+    """An attempt ended at the server; an attempt without this event is in flight when the history ends."""
 
     server: str
     connection: int
@@ -142,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointNotified(HistoryEvent):
-    """From this time on a node counts as notified of a server's state in a generation of the list."""
+    """A node counts from this time on as notified of a server's state in a generation of the list."""
 
     node: str
     server: str
@@ -152,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStarted(HistoryEvent):
-    """A process of a server started; a cold one warms up from this time on."""
+    """A process of a server started; a cold process warms up from this time on."""
 
     server: str
     cold: bool
@@ -160,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStarted(HistoryEvent):
-    """A node's process was started; address is its listening address."""
+    """A node process was started; ``address`` is its listening address."""
 
     node: str
     incarnation: int
@@ -169,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReady(HistoryEvent):
-    """GET /ready was answered 200 for the first time since the start."""
+    """A node process responded with status 200 to GET /ready for the first time since its start."""
 
     node: str
     incarnation: int
@@ -177,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSignalled(HistoryEvent):
-    """A signal was sent to a node."""
+    """A signal was sent to a node process."""
 
     node: str
     incarnation: int
@@ -186,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeExited(HistoryEvent):
-    """A node's process has ended; a negative code is the signal that ended it."""
+    """A node process has ended; a negative code is the negated number of the signal that ended it."""
 
     node: str
     incarnation: int
@@ -195,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLogged(HistoryEvent):
-    """A node wrote a line to its log."""
+    """A line was read from the log of a node process."""
 
     node: str
     incarnation: int
@@ -204,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeMeasured(HistoryEvent):
-    """The descriptors and the resident memory of a node."""
+    """The number of open descriptors and the resident memory of a node process were measured."""
 
     node: str
     incarnation: int
@@ -214,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultBegan(HistoryEvent):
-    """A fault of the schedule began; index is its position there."""
+    """A fault of the schedule began; ``index`` is its position in the schedule."""
 
     index: int
     kind: str
@@ -223,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEnded(HistoryEvent):
-    """A fault ended; fired counts how often it took effect, None where that cannot be counted."""
+    """A fault ended; ``fired`` is the number of times it took effect, or None if that cannot be counted."""
 
     index: int
     kind: str
@@ -239,14 +245,14 @@
     _by_type: dict[type[HistoryEvent], list[HistoryEvent]] = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
-        """Index the events by type, as the oracle reads them."""
+        """Index the events by type, because the oracle reads them by type."""
         self._by_type = defaultdict(list)
         for event in self.events:
             self._by_type[type(event)].append(event)
 
     @staticmethod
     def now() -> float:
-        """Monotonic seconds, the clock of every event."""
+        """Return the current time of the clock of all events, in monotonic seconds."""
         return time.monotonic()
 
     def add(self, event: HistoryEvent) -> None:
@@ -255,5 +261,5 @@
         self._by_type[type(event)].append(event)
 
     def events_of(self, kind: type[EventType]) -> list[EventType]:
-        """All events of one type."""
+        """Return all events of one type, in the order in which they were recorded."""
         return cast(list[EventType], list(self._by_type[kind]))
--- a/fault_soak/http.py
+++ b/fault_soak/http.py
@@ -1,4 +1,4 @@
-"""A minimal HTTP/1.1 for the stubs."""
+"""A minimal implementation of HTTP/1.1 for the stubs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A message that was read; first_byte_at is in monotonic seconds."""
+    """A request or response that was read.
+
+    Attributes:
+        start_line: the request line or status line.
+        headers: the values of the headers, by name in lower case.
+        body: the body.
+        first_byte_at: the time when the first byte was read, in monotonic seconds.
+    """
 
     start_line: str
     headers: dict[str, str]
@@ -22,7 +29,7 @@
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the sender closes the connection after it."""
+        """Whether the sender closes the connection after the message."""
         return self.headers.get("connection", "") == "close"
 
     @property
@@ -32,7 +39,11 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """Read a message with a Content-Length; raises asyncio.IncompleteReadError where the input ends early."""
+    """Read a message with a Content-Length or without a body.
+
+    Raises:
+        asyncio.IncompleteReadError: if the input ends before the message is complete.
+    """
     first = await reader.readexactly(1)
     first_byte_at = asyncio.get_running_loop().time()
     head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -43,6 +54,6 @@
     return Message(start_line, headers, body, first_byte_at)
 
 
-def render(status: str, body: bytes = b"", extra: str = "") -> bytes:
-    """A response with its Content-Length."""
+def render_response(status: str, body: bytes = b"", extra: str = "") -> bytes:
+    """Return the bytes of a response with a Content-Length; ``extra`` contains further header lines."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
--- a/fault_soak/injection/discovery.py
+++ b/fault_soak/injection/discovery.py
@@ -41,12 +41,12 @@
     """Send lists cut in two and often, most of them without a change; returns how many were cut."""
     agent = environment.agent_of(fault)
     before = agent.fired
-    agent.pieces = True
+    agent.split_lists = True
     until = History.now() + fault.length_s
     while History.now() < until:
         serving = [server for server in environment.servers if server.up and not server.draining]
         if serving:
             environment.announce(environment.rng.choice(serving))
         await asyncio.sleep(ANNOUNCEMENT_INTERVAL_S)
-    agent.pieces = False
+    agent.split_lists = False
     return agent.fired - before
--- a/fault_soak/injection/injector.py
+++ b/fault_soak/injection/injector.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TypeAlias
 
-from fault_soak.faults import AIMED_CLIENT_KINDS, NODE_KINDS, SERVER_KINDS, Fault, FaultKind
+from fault_soak.faults import NODE_KINDS, SERVER_KINDS, SINGLE_NODE_CLIENT_KINDS, Fault, FaultKind
 from fault_soak.history import FaultBegan, FaultEnded, History
 from fault_soak.injection import clients, discovery, links, nodes, reloads, servers, system_calls
 from fault_soak.injection.environment import Environment
@@ -68,7 +68,7 @@
 
 
 def _target_name(environment: Environment, fault: Fault) -> str:
-    if fault.kind in NODE_KINDS or fault.kind in AIMED_CLIENT_KINDS:
+    if fault.kind in NODE_KINDS or fault.kind in SINGLE_NODE_CLIENT_KINDS:
         return environment.node_of(fault).name
     if fault.kind in SERVER_KINDS:
         return environment.server_of(fault).name
--- a/fault_soak/injection/links.py
+++ b/fault_soak/injection/links.py
@@ -15,8 +15,8 @@
     proxy = server.proxy
     if not server.up or proxy is None:
         return 0
-    server.set_link(state)
+    server.set_link_state(state)
     await asyncio.sleep(fault.length_s)
     if server.proxy is proxy:
-        server.set_link(LinkState.PASS)
+        server.set_link_state(LinkState.PASS)
     return 1 if state is LinkState.LATE else proxy.fired
--- a/fault_soak/injection/nodes.py
+++ b/fault_soak/injection/nodes.py
@@ -36,7 +36,7 @@
     node.signal(signal.SIGTERM)
     stop_s = rng.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
     asyncio.get_running_loop().call_later(stop_s, setattr, node, "admitted", False)
-    await node.exited(kill_delay_s(environment.plan))
+    await node.wait_for_exit(kill_delay_s(environment.plan))
     await node.kill()
     await node.start()
     for server in hanging:
--- a/fault_soak/injection/reloads.py
+++ b/fault_soak/injection/reloads.py
@@ -52,7 +52,7 @@
     """Send the signal while the file is half written; the rest follows at once, without a signal."""
     node, agent = environment.node_of(fault), environment.agent_of(fault)
     old = await agent.move()
-    node.write_configuration(cut=True)
+    node.write_configuration(truncated=True)
     node.signal(signal.SIGHUP)
     await asyncio.sleep(REST_OF_FILE_DELAY_S)
     node.write_configuration()
--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -1,4 +1,7 @@
-"""Guards of the node, broken one at a time in a scratch copy to prove that the fault test notices."""
+"""Mutations of the load balancer, each of which breaks one guard of a node in a scratch copy of the source.
+
+They prove that the fault test detects a broken guard.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A replacement of source text; path is relative to the checkout."""
+    """A replacement of the source text ``old`` by ``new``; ``path`` is relative to the checkout."""
 
     path: str
     old: str
@@ -24,13 +27,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A guard that is broken.
+    """A change of the source that breaks a guard.
 
     Attributes:
-        name: the guard.
-        rules: the rules that may then be violated.
-        edits: the changes of source that break it.
-        kinds: the kinds of faults under which the guard matters.
+        name: the name of the guard, as the option ``--guard`` selects it.
+        rules: the rules that may be violated if the guard is broken; a violation of one of them detects it.
+        edits: the replacements of source text that break the guard.
+        kinds: the kinds of faults under which the guard has an effect.
     """
 
     name: str
@@ -40,7 +43,7 @@
 
 
 class MutationError(Exception):
-    """The source text that a mutation replaces does not exist: the mutation has to follow the code."""
+    """The source text that a mutation replaces does not exist, so that the mutation must be adapted."""
 
 
 ATTEMPTS = "load_balancer/proxy/attempts.py"
@@ -58,7 +61,10 @@
         REQUEST_HANDLER, "request is not None and not request.guard.may_reject()", "request is None and True"
     ),
 )
-"""The node's last check backs up several guards, and is broken together with them."""
+"""The edits that disable the node's last check, which backs up several guards.
+
+A mutation of one of these guards must disable the last check as well, because it would hide the broken guard.
+"""
 
 MUTATIONS = (
     Mutation(
@@ -240,7 +246,7 @@
 
 @contextmanager
 def mutated_tree(root: Path, mutation: Mutation) -> Iterator[Path]:
-    """A scratch copy of the checkout with one guard broken."""
+    """Create a temporary copy of the checkout with one guard broken, and remove it at the end of the context."""
     with tempfile.TemporaryDirectory(prefix="fault-soak-mutation-") as name:
         tree = Path(name)
         for part in ("load_balancer", "deploy"):
--- a/fault_soak/nodes.py
+++ b/fault_soak/nodes.py
@@ -1,4 +1,4 @@
-"""Real node processes, which are started with the deploy file's command and observed."""
+"""Real node processes, which are started with the command in the deploy file and observed."""
 
 from __future__ import annotations
 
@@ -31,32 +31,34 @@
 from fault_soak.shim import ShimControl
 
 MEMORY_MB = 192
+"""The memory limit of a node in the configuration."""
+
 MEASURE_INTERVAL_S = 0.25
 READY_INTERVAL_S = 0.02
-LOG_LINE_MAX = 400
+MAX_LOG_LINE_CHARACTERS = 400
 LOG_PIPE_BYTES = 4096
 
 
 @dataclass(slots=True)
 class NodeProcess:
-    """One node over its incarnations.
+    """One node, which runs as one process after another.
 
     Attributes:
-        name: the node's name.
-        tree: the checkout that it runs from.
-        directory: where its configuration file lies.
-        port: where it listens.
-        settings: its settings.
-        descriptors: its descriptor limit.
-        discovery_address: returns the address of its agent.
-        known_list: returns the cached endpoint list for a start.
-        history: where its starts, ends, log and use of resources are recorded.
-        shim: its failing system calls, None without a compiler.
-        library: the library to load, None without a compiler.
-        incarnation: counts its processes.
-        admitted: clients open new connections to it.
-        process: its present process, or its last.
-        log_read_allowed: is set while the fault test reads its log.
+        name: the name of the node.
+        tree: the checkout from which the node runs.
+        directory: the directory of the node's configuration file.
+        port: the port at which the node listens.
+        settings: the settings of the node.
+        descriptors: the limit of open descriptors.
+        discovery_address: a function that returns the address of the node's agent.
+        cached_list: a function that returns the cached endpoint list for the node's configuration.
+        history: the history in which starts, exits, log lines and the use of resources are recorded.
+        shim: the control of failing system calls; None if the machine has no C compiler.
+        library: the path of the shim that the node preloads; None if the machine has no C compiler.
+        incarnation: the number of processes that have been started, which is the number of the latest process.
+        admitted: whether clients may open new connections to the node.
+        process: the running or latest process.
+        log_read_allowed: an event that is set while the fault test reads the node's log.
     """
 
     name: str
@@ -66,7 +68,7 @@
     settings: Settings
     descriptors: int
     discovery_address: Callable[[], str]
-    known_list: Callable[[], EndpointList]
+    cached_list: Callable[[], EndpointList]
     history: History
     shim: ShimControl | None = None
     library: Path | None = None
@@ -78,28 +80,28 @@
 
     @property
     def address(self) -> str:
-        """Its listening address."""
+        """The listening address of the node."""
         return f"{HOST}:{self.port}"
 
     @property
     def alive(self) -> bool:
-        """Whether a process of it runs."""
+        """Whether a process of the node is running."""
         return self.process is not None and self.process.returncode is None
 
-    def write_configuration(self, *, cut: bool = False) -> None:
-        """Write the present configuration to its file; with cut, only the first half of it."""
+    def write_configuration(self, *, truncated: bool = False) -> None:
+        """Write the configuration file of the node; if ``truncated``, write only its first half."""
         content = {
             "name": self.name,
             "listen": self.address,
             "discovery": self.discovery_address(),
             "seed": f"{crc32(f'{self.name}/{self.incarnation}'.encode()):x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": self.descriptors},
-            "known": endpoint_list_to_json(self.known_list()),
+            "known": endpoint_list_to_json(self.cached_list()),
             "settings": settings_to_json(self.settings),
         }
         text = json.dumps(content)
         path = self.directory / "config.json"
-        if cut:
+        if truncated:
             path.write_text(text[: len(text) // 2])
             return
         temporary = path.with_suffix(".new")
@@ -107,7 +109,7 @@
         temporary.replace(path)
 
     async def start(self) -> None:
-        """Start a process and observe it."""
+        """Start a process of the node and the tasks that observe the process."""
         self.incarnation += 1
         self.write_configuration()
         environment = {
@@ -139,40 +141,40 @@
             task.add_done_callback(self._watchers.discard)
 
     def _shrink_log_pipe(self) -> None:
-        """Make the pipe of the log small, so that few lines fill it."""
+        """Make the pipe of the log small, so that a few lines fill the pipe."""
         assert self.process is not None and self.process.stderr is not None
         pipe = self.process.stderr._transport.get_extra_info("pipe")  # type: ignore[attr-defined]
         fcntl.fcntl(pipe.fileno(), fcntl.F_SETPIPE_SZ, LOG_PIPE_BYTES)
 
     def signal(self, number: int) -> None:
-        """Send a signal, if a process runs."""
+        """Send a signal to the process if it is running."""
         if self.alive and self.process is not None:
             self.history.add(NodeSignalled(History.now(), self.name, self.incarnation, number))
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
     def close_log(self) -> None:
-        """Close the read end of its log."""
+        """Close the read end of the node's log."""
         if self.process is not None and self.process.stderr is not None:
             transport = self.process.stderr._transport  # type: ignore[attr-defined]
             transport.close()
 
-    async def exited(self, within_s: float) -> bool:
-        """Wait for the end of the process; returns whether it came in time."""
+    async def wait_for_exit(self, timeout_s: float) -> bool:
+        """Wait until the process has exited, and return whether it did so within ``timeout_s`` seconds."""
         if self.process is None:
             return True
         try:
-            await asyncio.wait_for(self.process.wait(), within_s)
+            await asyncio.wait_for(self.process.wait(), timeout_s)
         except TimeoutError:
             return False
         return True
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process if it is running, and wait for its exit."""
         if self.alive:
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGKILL)
-            await self.exited(5.0)
+            await self.wait_for_exit(5.0)
 
     async def _follow_log(self) -> None:
         process, incarnation = self.process, self.incarnation
@@ -185,7 +187,7 @@
                 continue  # the line exceeds the limit
             if not line:
                 return
-            text = line.decode(errors="replace").rstrip()[:LOG_LINE_MAX]
+            text = line.decode(errors="replace").rstrip()[:MAX_LOG_LINE_CHARACTERS]
             self.history.add(NodeLogged(History.now(), self.name, incarnation, text))
 
     async def _follow_exit(self) -> None:
--- a/fault_soak/proof.py
+++ b/fault_soak/proof.py
@@ -1,4 +1,4 @@
-"""Proves that the fault test notices broken guards of the node."""
+"""Proof that the fault test detects broken guards of the node."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 def prove(seeds: Sequence[int], guard: str, parallel: int) -> bool:
-    """Run scenarios against each broken guard until one notices it, and print which did.
+    """Run scenarios with each guard broken until a scenario detects it, and print the results.
 
     Args:
-        seeds: the seeds to try, in this order.
-        guard: only guards whose names contain this.
-        parallel: scenarios at a time.
+        seeds: the seeds of the scenarios, tried in this order.
+        guard: text that the names of the tested guards contain; "" to test all guards.
+        parallel: the number of guards that are tested at a time, each with one scenario at a time.
 
     Returns:
-        Whether every broken guard was noticed.
+        Whether every broken guard was detected.
     """
     mutations = [mutation for mutation in MUTATIONS if guard in mutation.name]
     with ThreadPoolExecutor(parallel) as pool:
-        found = list(pool.map(lambda mutation: _first_catch(mutation, seeds), mutations))
-    for mutation, line in zip(mutations, found, strict=True):
-        print(f"{mutation.name}: {line or 'not caught'}")
-    return all(found)
+        detections = list(pool.map(lambda mutation: _first_detection(mutation, seeds), mutations))
+    for mutation, detection in zip(mutations, detections, strict=True):
+        print(f"{mutation.name}: {detection or 'not detected'}")
+    return all(detections)
 
 
-def _first_catch(mutation: Mutation, seeds: Sequence[int]) -> str:
-    """The first seed that breaks one of the mutation's rules, and how; empty if none does."""
+def _first_detection(mutation: Mutation, seeds: Sequence[int]) -> str:
+    """Describe the first scenario that violates one of the mutation's rules; return "" if none does."""
     names = {rule.value for rule in mutation.rules}
     with mutated_tree(ROOT, mutation) as tree:
         options = RunOptions(tree, mutation.kinds, report_directory=tree)
         for count, seed in enumerate(seeds, 1):
-            caught = run_in_process(seed, options).violations_of(names)
-            if caught:
-                return f"seed {seed}, {count} plays, {len(caught)} violations, first {caught[0]}"
+            violations = run_in_process(seed, options).violations_of(names)
+            if violations:
+                return f"seed {seed}, {count} scenarios, {len(violations)} violations, first: {violations[0]}"
     return ""
--- a/fault_soak/proxy.py
+++ b/fault_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy between the nodes and one server, which fails as networks do."""
+"""A TCP proxy between the nodes and one server that simulates network failures."""
 
 from __future__ import annotations
 
@@ -10,28 +10,33 @@
 
 HOST = "127.0.0.1"
 BACKLOG = 128
-PIECE = 65536
+READ_BYTES = 65536
 
 
 class LinkState(Enum):
-    """What the proxy does with connections and data."""
+    """The way in which the proxy handles connections and data."""
 
     PASS = "pass"
+    """The proxy forwards all connections and data."""
+
     SILENT = "silent"
-    """No data passes in either direction; connections are still established, as by a stopped process."""
+    """The proxy forwards no data in either direction.
+
+    New connections are still established, as with a server whose process is stopped.
+    """
 
     LATE = "late"
-    """New connections are established only when the state ends; others pass data on."""
+    """New connections are established only when the state ends; existing connections forward data."""
 
     RESET_REQUEST = "reset-request"
-    """The first bytes of a request reset its connection, and are not forwarded."""
+    """The proxy resets a connection at the first bytes of a request and does not forward these bytes."""
 
     RESET_RESPONSE = "reset-response"
-    """The first bytes of a response reset its connection; the server has executed the request."""
+    """The proxy resets a connection at the first bytes of a response; the server has executed the request."""
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that its other end sees a reset."""
+    """Close a connection with a TCP reset."""
     connection = writer.get_extra_info("socket")
     if connection is not None and not writer.transport.is_closing():
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -39,7 +44,13 @@
 
 
 class FaultProxy:
-    """Listens at the address that discovery announces, and relays to the server's own port."""
+    """A proxy that listens at the announced address of a server and relays connections to the server's port.
+
+    Attributes:
+        state: the current state of the link.
+        fired: the number of times that the proxy dropped data or reset a connection.
+        port: the port at which the proxy listens, or 0 before ``open`` for a free port.
+    """
 
     def __init__(self, server_port: int) -> None:
         self.state = LinkState.PASS
@@ -48,7 +59,7 @@
         self._server_port = server_port
         self._loop = asyncio.get_running_loop()
         self._listener = socket.socket()
-        self._fillers: list[socket.socket] = []
+        self._backlog_fillers: list[socket.socket] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
         self._passing = asyncio.Event()
@@ -56,34 +67,34 @@
         self._accepting = False
 
     def open(self) -> None:
-        """Listen at the port that was set, or else at a free one; may be called once."""
+        """Listen at ``port``, or at a free port if ``port`` is 0; may be called only once."""
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._listener.bind((HOST, self.port))
         self._listener.setblocking(False)
         self._listener.listen(BACKLOG)
         self.port = self._listener.getsockname()[1]
-        self._accept_on()
+        self._start_accepting()
 
     def close(self) -> None:
-        """Refuse new connections, and reset those that are open."""
-        self._accept_off()
+        """Refuse new connections and reset the open connections."""
+        self._stop_accepting()
         self._listener.close()
-        self._close_fillers()
+        self._close_backlog_fillers()
         for writer in list(self._writers):
             reset(writer)
         for task in list(self._tasks):
             task.cancel()
 
     def set_state(self, state: LinkState) -> None:
-        """Change the state; the end of SILENT resets all connections, whose data was lost."""
+        """Change the state of the link; the end of SILENT resets all connections, as they have lost data."""
         previous, self.state = self.state, state
         if previous is LinkState.SILENT:
             for writer in list(self._writers):
                 reset(writer)
         if previous is LinkState.LATE:
             self._listener.listen(BACKLOG)
-            self._close_fillers()
-            self._accept_on()
+            self._close_backlog_fillers()
+            self._start_accepting()
         if state is LinkState.LATE:
             self._fill_backlog()
         if state is LinkState.SILENT:
@@ -92,27 +103,27 @@
             self._passing.set()
 
     def _fill_backlog(self) -> None:
-        """The kernel drops the handshakes of those that come behind a full backlog."""
-        self._accept_off()
+        """Fill the backlog of the listener so that the kernel drops the handshakes of further connections."""
+        self._stop_accepting()
         self._listener.listen(0)
         for _ in range(3):
             filler = socket.socket()
             filler.setblocking(False)
             with contextlib.suppress(BlockingIOError):
                 filler.connect((HOST, self.port))
-            self._fillers.append(filler)
+            self._backlog_fillers.append(filler)
 
-    def _close_fillers(self) -> None:
-        for filler in self._fillers:
+    def _close_backlog_fillers(self) -> None:
+        for filler in self._backlog_fillers:
             filler.close()
-        self._fillers.clear()
+        self._backlog_fillers.clear()
 
-    def _accept_on(self) -> None:
+    def _start_accepting(self) -> None:
         if not self._accepting:
             self._accepting = True
             self._loop.add_reader(self._listener.fileno(), self._accept)
 
-    def _accept_off(self) -> None:
+    def _stop_accepting(self) -> None:
         if self._accepting:
             self._accepting = False
             self._loop.remove_reader(self._listener.fileno())
@@ -154,15 +165,16 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         node_writer: asyncio.StreamWriter,
-        resets: LinkState,
+        reset_state: LinkState,
     ) -> None:
+        """Copy data in one direction until the connection ends, or reset it in the state ``reset_state``."""
         try:
-            while data := await reader.read(PIECE):
+            while data := await reader.read(READ_BYTES):
                 if self.state is LinkState.SILENT:
                     self.fired += 1
                     await self._passing.wait()
                     return  # the data is lost
-                if self.state is resets:
+                if self.state is reset_state:
                     self.fired += 1
                     reset(node_writer)
                     break
--- a/fault_soak/report.py
+++ b/fault_soak/report.py
@@ -1,11 +1,11 @@
-"""The report of one scenario: what was requested and answered, which faults ran and which rules broke."""
+"""The report of one scenario: counts of requests and responses, faults that ran, and broken rules."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SOAK_FAILED = "the soak itself failed"
+FAULT_TEST_FAILED = "the fault test itself failed"
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,14 +13,14 @@
     """The report of one scenario.
 
     Attributes:
-        seed: the seed of its plan.
-        requests: how many requests clients sent.
-        statuses: each status of a response with its count, as text.
-        worst_lag_ms: the worst lag of the fault test's own event loop.
-        shim_loaded: whether system calls of the nodes could be made to fail.
-        faults: each fault that ended, with its target and how often it took effect.
-        pairs: the kinds of each two faults that overlapped.
-        violations: each violation, its rule first.
+        seed: the seed of the plan.
+        requests: the number of requests that clients sent.
+        statuses: the number of responses with each status, such as "200:12 503:1".
+        worst_lag_ms: the largest lag in milliseconds of the fault test's own event loop.
+        shim_loaded: whether the nodes ran with the shim, which can make their system calls fail.
+        faults: each fault that ended, with its target and the number of times it took effect.
+        pairs: the two kinds of each pair of faults that overlapped in time.
+        violations: each violation as text that begins with the name of the rule.
     """
 
     seed: int
@@ -33,17 +33,17 @@
     violations: tuple[str, ...] = ()
 
     @property
-    def soak_failed(self) -> bool:
-        """Whether the fault test itself failed, so that there are no figures."""
-        return self.violations == (SOAK_FAILED,)
+    def fault_test_failed(self) -> bool:
+        """Whether the fault test itself failed, so that the report contains no results."""
+        return self.violations == (FAULT_TEST_FAILED,)
 
     def violations_of(self, rules: Iterable[str]) -> list[str]:
-        """The violations of some rules, given by their names."""
+        """Return the violations of the rules with the given names."""
         names = frozenset(rules)
         return [violation for violation in self.violations if _rule_name(violation) in names]
 
     def broken_rules(self) -> set[str]:
-        """The names of the rules that were broken."""
+        """Return the names of the rules that were broken."""
         return {_rule_name(violation) for violation in self.violations}
 
 
@@ -52,5 +52,5 @@
 
 
 def failed_report(seed: int) -> Report:
-    """The report of a scenario in which the fault test itself failed."""
-    return Report(seed, violations=(SOAK_FAILED,))
+    """Return the report of a scenario in which the fault test itself failed."""
+    return Report(seed, violations=(FAULT_TEST_FAILED,))
--- a/fault_soak/reporting.py
+++ b/fault_soak/reporting.py
@@ -1,4 +1,4 @@
-"""Makes the report of a scenario, and prints reports."""
+"""Functions that create the report of a scenario and print reports."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 SHOWN_VIOLATIONS = 12
 
 
-def report_of(result: ScenarioResult) -> Report:
-    """The report of a scenario that has run."""
+def create_report(result: ScenarioResult) -> Report:
+    """Create the report of a scenario that has run."""
     history = result.history
     statuses = Counter(response.status for response in history.events_of(ResponseReceived))
     return Report(
@@ -51,12 +51,12 @@
 
 
 def print_summary(reports: Sequence[Report]) -> None:
-    """Print which rules were broken in how many of the scenarios."""
+    """Print the number of scenarios in which each rule was broken."""
     broken: Counter[str] = Counter()
     pairs: set[str] = set()
     for report in reports:
         broken.update(report.broken_rules())
         pairs.update("+".join(sorted(pair.split("+"))) for pair in report.pairs)
-    print(f"plays {len(reports)}, pairs of faults that overlapped {len(pairs)}")
+    print(f"scenarios: {len(reports)}, pairs of fault kinds that overlapped: {len(pairs)}")
     for rule, count in broken.most_common():
-        print(f"  {rule}: broken in {count} plays")
+        print(f"  {rule}: broken in {count} scenarios")
--- a/fault_soak/result.py
+++ b/fault_soak/result.py
@@ -1,4 +1,4 @@
-"""What a scenario gives to the oracle."""
+"""The result of a scenario, which the oracle checks."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ScenarioResult:
-    """The history of a scenario, and what limits its precision.
+    """The history of a scenario and the limit of its precision.
 
     Attributes:
         plan: the plan that was run.
-        history: what was recorded.
-        worst_lag_s: the worst lag of the event loop that recorded it.
-        shim_loaded: whether system calls of the nodes could be made to fail.
+        history: the recorded events.
+        worst_lag_s: the largest lag in seconds of the event loop that recorded the events.
+        shim_loaded: whether the nodes ran with the shim, which can make their system calls fail.
     """
 
     plan: Plan
--- a/fault_soak/scenario.py
+++ b/fault_soak/scenario.py
@@ -1,4 +1,4 @@
-"""Runs the scenario of one plan with real nodes, and gives its history."""
+"""Runs of the scenario of a plan with real nodes."""
 
 from __future__ import annotations
 
@@ -30,17 +30,20 @@
 READY_WITHIN_S = 30.0
 LAG_CHECK_S = 0.01
 LISTEN_PORTS = (12_000, 30_000)
-LOAD_SEED_MASK = 0x5EED  # the load draws from another sequence than the plan
+LOAD_SEED_MASK = 0x5EED  # gives the load and the faults another random sequence than the plan
 
 
 @dataclass(slots=True)
 class LagMonitor:
-    """The worst lag of the fault test's own event loop: the oracle's times are no more precise than that."""
+    """A monitor of the largest lag of the fault test's own event loop.
+
+    The times in the history are no more precise than ``worst_s``, the largest lag in seconds.
+    """
 
     worst_s: float = 0.0
 
     async def run(self) -> None:
-        """Measure until cancelled."""
+        """Measure the lag until the task is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             before = loop.time()
@@ -50,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Builds the servers, agents and nodes of one scenario.
+    """The factory of the servers, agents and nodes of one scenario.
 
     Attributes:
         plan: the plan of the scenario.
         tree: the checkout whose nodes are run.
-        directory: a scratch directory.
-        library: the library of failing system calls, None without a compiler.
-        history: where everything is recorded.
-        fleet: what discovery knows of the servers.
+        directory: a temporary directory.
+        library: the path of the shim, which makes system calls fail; None if the machine has no C compiler.
+        history: the history in which all events are recorded.
+        fleet: the state of the servers that discovery knows.
     """
 
     plan: Plan
@@ -69,7 +72,7 @@
     fleet: FleetState = field(default_factory=FleetState)
 
     async def start_servers(self) -> list[StubServer]:
-        """Start all servers and announce them."""
+        """Start all servers and announce them to discovery."""
         plan = self.plan
         idle_s = plan.settings.limits.idle_timeout_ms / 1000.0
         load = ServerLoad(plan.work_ms / 1000.0, plan.server_slots, idle_s)
@@ -82,7 +85,7 @@
         return servers
 
     async def open_agents(self) -> list[Agent]:
-        """Open an agent for each node, which knows all servers."""
+        """Start an agent for each node; each agent knows all servers."""
         agents = [self._agent(f"n{i}") for i in range(self.plan.node_count)]
         for agent in agents:
             await agent.open()
@@ -94,7 +97,7 @@
         return Agent(name, self.fleet, self.history, random.Random(f"{self.plan.seed}/{name}"), pushed)
 
     def build_node(self, index: int, agent: Agent) -> NodeProcess:
-        """Prepare a node, without starting it."""
+        """Create a node without starting it."""
         own_directory = self.directory / f"n{index}"
         own_directory.mkdir()
         return NodeProcess(
@@ -105,7 +108,7 @@
             settings=self.plan.node_settings(index),
             descriptors=self.plan.descriptors,
             discovery_address=lambda: f"{HOST}:{agent.port}",
-            known_list=lambda: agent.fleet.complete_list(agent.generation),
+            cached_list=lambda: agent.fleet.complete_list(agent.generation),
             history=self.history,
             shim=None if self.library is None else ShimControl(own_directory / "shim"),
             library=self.library,
@@ -113,16 +116,19 @@
 
 
 def _free_port() -> int:
-    """A port below those that the system gives to outgoing connections, so that it is free at a restart."""
+    """Return a free port below the range of ports that the system assigns to outgoing connections.
+
+    No outgoing connection can then occupy the port while the node restarts.
+    """
     while True:
         port = random.SystemRandom().randrange(*LISTEN_PORTS)
-        with socket.socket() as probe, contextlib.suppress(OSError):
-            probe.bind((HOST, port))
+        with socket.socket() as test_socket, contextlib.suppress(OSError):
+            test_socket.bind((HOST, port))
             return port
 
 
 async def run_scenario(plan: Plan, tree: Path) -> ScenarioResult:
-    """Run the scenario of a plan with the nodes of a checkout."""
+    """Run the scenario of a plan with the nodes of a checkout and return its result."""
     directory = Path(tempfile.mkdtemp(prefix="fault-soak-"))
     try:
         return await _run(Deployment(plan, tree, directory, build_shim(directory)))
@@ -136,22 +142,22 @@
     servers = await deployment.start_servers()
     agents = await deployment.open_agents()
     nodes = [deployment.build_node(index, agent) for index, agent in enumerate(agents)]
-    lag = LagMonitor()
-    lag_task = asyncio.create_task(lag.run())
+    lag_monitor = LagMonitor()
+    lag_task = asyncio.create_task(lag_monitor.run())
     try:
         await asyncio.gather(*(node.start() for node in nodes))
-        await _until_ready(nodes)
+        await _wait_until_ready(nodes)
         clients = ClientPopulation(plan, nodes, history, rng)
         environment = Environment(plan, history, nodes, agents, servers, deployment.fleet, clients, rng)
         await _run_load_and_faults(environment)
-        await _end_nodes(nodes, kill_delay_s(plan))
+        await _terminate_nodes(nodes, kill_delay_s(plan))
     finally:
         lag_task.cancel()
-        await _stop(nodes, agents, servers)
-    return ScenarioResult(plan, history, lag.worst_s, deployment.library is not None)
+        await _stop_all(nodes, agents, servers)
+    return ScenarioResult(plan, history, lag_monitor.worst_s, deployment.library is not None)
 
 
-async def _until_ready(nodes: list[NodeProcess]) -> None:
+async def _wait_until_ready(nodes: list[NodeProcess]) -> None:
     async with asyncio.timeout(READY_WITHIN_S):
         while not all(node.admitted for node in nodes):
             await asyncio.sleep(0.02)
@@ -168,17 +174,17 @@
     await asyncio.gather(environment.clients.run(SCENARIO_S), *(run_at(i) for i in range(len(faults))))
 
 
-async def _end_nodes(nodes: list[NodeProcess], within_s: float) -> None:
-    """Send SIGTERM to every node, and wait for its end."""
+async def _terminate_nodes(nodes: list[NodeProcess], timeout_s: float) -> None:
+    """Send SIGTERM to every node, and wait at most ``timeout_s`` seconds until the processes have exited."""
     for node in nodes:
         node.admitted = False
         node.log_read_allowed.set()
         node.signal(signal.SIGTERM)
-    await asyncio.gather(*(node.exited(within_s) for node in nodes))
+    await asyncio.gather(*(node.wait_for_exit(timeout_s) for node in nodes))
 
 
-async def _stop(nodes: list[NodeProcess], agents: list[Agent], servers: list[StubServer]) -> None:
-    """Stop whatever is still running."""
+async def _stop_all(nodes: list[NodeProcess], agents: list[Agent], servers: list[StubServer]) -> None:
+    """Stop the nodes, agents and servers that are still running."""
     for node in nodes:
         await node.kill()
     for agent in agents:
--- a/fault_soak/serialization.py
+++ b/fault_soak/serialization.py
@@ -1,4 +1,4 @@
-"""The JSON forms of settings, endpoint lists and reports, with their documented names."""
+"""Conversion of settings, endpoint lists and reports to JSON objects with the documented names."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def settings_to_json(settings: Settings) -> JsonObject:
-    """The settings as a node reads them from its configuration file."""
+    """Convert settings to the object that a node reads from its configuration file."""
     return {
         "azs": list(settings.zones),
         "balancers": settings.node_count,
@@ -35,7 +35,7 @@
 
 
 def endpoint_list_to_json(endpoints: EndpointList) -> JsonObject:
-    """An endpoint list as discovery sends it."""
+    """Convert an endpoint list to the object that discovery sends."""
     return {
         "generation": endpoints.generation,
         "reset": endpoints.complete,
@@ -44,7 +44,7 @@
 
 
 def report_to_json(report: Report) -> JsonObject:
-    """A report as it is stored."""
+    """Convert a report to the object that is stored in a report file."""
     return {
         "seed": report.seed,
         "requests": report.requests,
@@ -58,7 +58,7 @@
 
 
 def report_from_json(content: Mapping[str, Any]) -> Report:
-    """A stored report."""
+    """Convert the object of a report file to a report."""
     return Report(
         seed=content["seed"],
         requests=content["requests"],
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -1,4 +1,4 @@
-"""Stub servers: work that takes time, a queue, drains, restarts and misbehaviour."""
+"""Stub servers, which take time to serve requests, have a queue, drain, restart and misbehave."""
 
 from __future__ import annotations
 
@@ -20,11 +20,15 @@
     Lifecycle,
     ServerStarted,
 )
-from fault_soak.http import Message, read_message, render
+from fault_soak.http import Message, read_message, render_response
 from fault_soak.proxy import HOST, FaultProxy, LinkState, reset
 
 QUEUE_PER_SLOT = 8
+"""The number of requests per slot, both queued and being served, above which a server rejects requests."""
+
 NOT_EXECUTED = "X-Not-Run: 1\r\n"
+"""The header line with which a server declares that it did not execute a request."""
+
 SERVED_BODY_BYTES = 24
 ERROR_PROBABILITY = 0.7
 GARBLE_PROBABILITY = 0.6
@@ -35,30 +39,46 @@
     asyncio.CancelledError,
     ConnectionError,
 )
+"""The exceptions that end the serving of a connection."""
 
 
 class Misbehaviour(Enum):
-    """How a server fails, apart from its network."""
+    """A way in which a server misbehaves, independently of its network."""
 
     NONE = auto()
     HANG = auto()
+    """The server receives requests and health checks but does not respond."""
+
     ERRORS = auto()
+    """The server responds to many requests with status 500."""
+
     GARBLE = auto()
+    """The server writes malformed responses to many requests."""
+
     IDLE_CLOSE = auto()
+    """The server closes connections after a short idle time."""
 
 
 class Malformation(Enum):
-    """How a response of a server that garbles is malformed."""
+    """A way in which a response is malformed."""
 
     TRUNCATED = 0
+    """The response ends early, and the connection is closed."""
+
     NOT_HTTP = 1
+    """The response is not HTTP, and the connection is closed."""
+
     SECOND_RESPONSE = 2
-    """A correct response, and another one some milliseconds later."""
+    """A correct response is followed by a second response at most 5 ms later."""
 
     RESET_WITHOUT_LENGTH = 3
+    """The response has no Content-Length, and the connection is reset within the body."""
+
     COMPLETE_WITHOUT_LENGTH = 4
+    """The response has no Content-Length and ends with the close of the connection."""
+
     NEVER_ENDING = 5
-    """The last byte is missing, and the connection is kept."""
+    """The last byte of the response is missing, and the connection is kept open."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,18 +91,18 @@
     request_id: str
 
     def end(self, result: AttemptResult) -> None:
-        """Record how it ended."""
+        """Record the result of the attempt."""
         self.history.add(AttemptDone(History.now(), self.server, self.connection, self.request_id, result))
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """The work of a server.
+    """The capacity and the idle timeout of a server.
 
     Attributes:
-        work_s: the planned service time, the median of those that are drawn.
-        slots: requests that are served concurrently.
-        idle_s: the time after which an idle connection is closed.
+        work_s: the planned service time in seconds, which is the median of the random service times.
+        slots: the number of requests that the server serves concurrently.
+        idle_s: the time in seconds after which the server closes an idle connection.
     """
 
     work_s: float
@@ -91,13 +111,24 @@
 
 
 def served_body(server: str, request_id: str) -> bytes:
-    """The only correct body of a server's response to a request."""
+    """Return the only correct body of a server's response to a request."""
     digest = hashlib.sha256(f"{server}/{request_id}".encode()).hexdigest()
     return f"{server}:{digest[:SERVED_BODY_BYTES]}".encode()
 
 
 class StubServer:
-    """One server behind its own fault proxy; a restart stands for a new process of it."""
+    """A server behind its own fault proxy; each start simulates a new process of the server.
+
+    Attributes:
+        location: the zone and the cell of the server.
+        name: the name of the server.
+        started_unix_ms: the start of the latest process in Unix milliseconds, or 0 if it started long ago.
+        draining: whether the server is draining and rejects requests.
+        misbehaviour: the current misbehaviour.
+        fired: the number of times that a misbehaviour took effect.
+        up: whether a process is running.
+        proxy: the proxy of the latest process; None before the first start.
+    """
 
     _connections = itertools.count(1)
 
@@ -119,7 +150,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, *, started_unix_ms: float) -> None:
-        """Start a process; a start at time 0 means that it started long ago and is warm."""
+        """Start a process; if ``started_unix_ms`` is 0, the process counts as started long ago and warm."""
         self.started_unix_ms = started_unix_ms
         self.draining = False
         self._slots = asyncio.Semaphore(self._load.slots)
@@ -134,7 +165,7 @@
         self._history.add(ServerStarted(History.now(), self.name, cold=started_unix_ms > 0))
 
     def crash(self) -> None:
-        """End the process: its connections are reset, new ones are refused."""
+        """End the process: reset its connections and refuse new connections."""
         if not self.up:
             return
         self.up = False
@@ -144,14 +175,14 @@
         for writer in list(self._writers):
             reset(writer)
 
-    def set_link(self, state: LinkState) -> None:
-        """Change the state of the network in front of it."""
+    def set_link_state(self, state: LinkState) -> None:
+        """Change the state of the network in front of the server."""
         if self.up and self.proxy is not None:
             self.proxy.set_state(state)
 
     @property
     def row(self) -> EndpointRow:
-        """Its row in the endpoint list."""
+        """The server's row in the endpoint list."""
         assert self.proxy is not None
         return EndpointRow(
             location=self.location,
@@ -174,7 +205,7 @@
     async def _serve_one(
         self, connection: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Serve one request; returns whether the connection is kept."""
+        """Serve one request and return whether the connection is kept."""
         idle_s = self._load.idle_s
         if self.misbehaviour is Misbehaviour.IDLE_CLOSE:
             idle_s = self._rng.choice(EARLY_IDLE_CLOSE_S)
@@ -186,7 +217,7 @@
         if message.target in ("/health", "/status/load"):
             if self.misbehaviour is Misbehaviour.HANG:
                 return await self._hang(reader)
-            writer.write(render("503 Unavailable" if self.draining else "200 OK"))
+            writer.write(render_response("503 Unavailable" if self.draining else "200 OK"))
             return True
         attempt = self._record_attempt(connection, message)
         return await self._respond(attempt, reader, writer)
@@ -210,7 +241,7 @@
     ) -> bool:
         if self.draining or self._waiting >= QUEUE_PER_SLOT * self._load.slots:
             attempt.end(AttemptResult.REJECTED)
-            writer.write(render("503 Unavailable", extra=NOT_EXECUTED))
+            writer.write(render_response("503 Unavailable", extra=NOT_EXECUTED))
             return True
         if self.misbehaviour is Misbehaviour.HANG:
             self.fired += 1
@@ -223,7 +254,7 @@
         return self._answer(attempt, writer)
 
     async def _work_unless_closed(self, reader: asyncio.StreamReader) -> bool:
-        """Do the work of a request; returns False where the connection was closed before its end."""
+        """Spend the service time of a request; return False if the connection was closed before the end."""
         work = asyncio.ensure_future(self._work())
         closed = asyncio.ensure_future(reader.read(1))
         try:
@@ -250,20 +281,20 @@
         if self.misbehaviour is Misbehaviour.ERRORS and self._rng.random() < ERROR_PROBABILITY:
             self.fired += 1
             attempt.end(AttemptResult.ERROR)
-            writer.write(render("500 Error", b"broken"))
+            writer.write(render_response("500 Error", b"broken"))
             return True
         attempt.end(AttemptResult.SERVED)
         if self.misbehaviour is Misbehaviour.GARBLE and self._rng.random() < GARBLE_PROBABILITY:
             self.fired += 1
-            return self._garble(body, writer)
+            return self._write_malformed_response(body, writer)
         load_report = json.dumps({"inflight": self._waiting})
-        writer.write(render("200 OK", body, f"X-Load: {load_report}\r\n"))
+        writer.write(render_response("200 OK", body, f"X-Load: {load_report}\r\n"))
         return True
 
-    def _garble(self, body: bytes, writer: asyncio.StreamWriter) -> bool:
-        """Write a malformed response; returns whether the connection is kept."""
+    def _write_malformed_response(self, body: bytes, writer: asyncio.StreamWriter) -> bool:
+        """Write a malformed response and return whether the connection is kept."""
         loop = asyncio.get_running_loop()
-        complete = render("200 OK", body)
+        complete = render_response("200 OK", body)
         match Malformation(self._rng.randrange(len(Malformation))):
             case Malformation.TRUNCATED:
                 writer.write(complete[: self._rng.randrange(len(complete))])
@@ -274,7 +305,7 @@
             case Malformation.SECOND_RESPONSE:
                 writer.write(complete)
                 delay_s = self._rng.choice((0.0, 0.002, 0.005))
-                loop.call_later(delay_s, writer.write, render("200 OK", b"stale:" + body))
+                loop.call_later(delay_s, writer.write, render_response("200 OK", b"stale:" + body))
                 return True
             case Malformation.RESET_WITHOUT_LENGTH:
                 writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[:5])
@@ -288,6 +319,7 @@
                 return True
 
     async def _hang(self, reader: asyncio.StreamReader) -> bool:
+        """Wait until the connection ends or more input arrives; return False, so that it is closed."""
         with contextlib.suppress(ConnectionError):
             await reader.read(1)
         return False
--- a/fault_soak/settings.py
+++ b/fault_soak/settings.py
@@ -1,7 +1,7 @@
 """The typed settings of a deployment.
 
-Durations are in milliseconds, rates in units a second and capacities in fractions of a warm server. Only
-``fault_soak.serialization`` refers to the names that the settings have in a configuration file.
+Durations are in milliseconds, rates are per second, and capacities are fractions of the capacity of a warm
+server. Only ``fault_soak.serialization`` uses the names that the settings have in a configuration file.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "safe"
-    """Nothing: the request may be repeated freely."""
+    """A repeated execution has no effect, so that the request may be repeated freely."""
 
     KEYED = "keyed"
-    """Nothing while the servers remember its idempotency key."""
+    """A repeated execution has no effect while the server remembers the idempotency key of the request."""
 
     NON_IDEMPOTENT = "unsafe"
-    """Harm: the request must not run twice."""
+    """A repeated execution does harm, so that the request must not be executed twice."""
 
 
 class DeduplicationScope(Enum):
@@ -32,10 +32,13 @@
 
 
 class ListDelivery(Enum):
-    """How nodes get changes of the endpoint list."""
+    """The way in which nodes receive changes of the endpoint list."""
 
     PUSHED = "pushed"
+    """Discovery sends each change at once."""
+
     POLLED = "on_request"
+    """Nodes request the changes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +46,15 @@
     """A class of requests.
 
     Attributes:
-        name: the class as requests name it.
-        idempotency: what a second execution would do.
-        latency_objective_ms: an answer within this time has its full value.
-        deadline_ms: how long a client waits for an answer.
-        priority_weight: the value of an answer within the objective.
-        deduplication_scope: the servers that discard a repeat of the same key; None for a class without keys.
-        deduplication_window_ms: how long they remember a key; without meaning for a class without keys.
+        name: the name of the class in the X-Class header of requests.
+        idempotency: whether a request may be executed more than once.
+        latency_objective_ms: the latency up to which a response has its full value.
+        deadline_ms: the time that a client waits for a response.
+        priority_weight: the value of a response within the latency objective.
+        deduplication_scope: the servers that share their memory of idempotency keys and discard a request
+            whose key they remember; None for a class without keys.
+        deduplication_window_ms: the time for which these servers remember a key; unused for a class without
+            keys.
     """
 
     name: str
@@ -63,16 +68,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    """What servers and clients of the deployment are guaranteed, and what servers endure.
+    """The guarantees to servers and clients of the deployment, and the load that servers can handle.
 
     Attributes:
-        response_slack_ms: how long after its deadline a final answer still counts.
-        warm_up_ms: the longest time until a started server has its full capacity.
-        overload_multiple: a server that warms up fails when sent more than this multiple of its capacity.
+        response_slack_ms: the time after the deadline within which a response still counts as in time.
+        warm_up_ms: the longest time from the start of a server until it has its full capacity.
+        overload_multiple: the multiple of its present capacity above which a server that is warming up fails.
         poll_within_ms: the longest time between two polls of the endpoint list.
-        overload_window_ms: the time over which the load of a server that warms up is measured.
+        overload_window_ms: the time window over which the load of a server that is warming up is measured.
         initial_capacity: the capacity of a server that has just started.
-        drain_grace_ms: how long after the notification of a drain an attempt may still be sent.
+        drain_grace_ms: the time after the notification of a drain within which attempts may still be sent.
     """
 
     response_slack_ms: float
@@ -86,17 +91,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyLimits:
-    """What a node may do with a request and with its connections.
+    """The limits of what a node may do with requests and connections.
 
     Attributes:
-        cancel_allowed: an attempt may be cancelled.
-        idle_timeout_ms: how long servers keep an idle connection.
-        connect_timeout_ms: how long a connection may take to be established.
-        max_retry_after_ms: the longest Retry-After that clients observe.
-        hedging_allowed: a second attempt may start while the first is in flight.
-        health_checks_allowed: endpoints may be health-checked.
-        retry_after_allowed: a rejection carries a Retry-After.
-        max_attempts: attempts that one request may have.
+        cancel_allowed: whether a node may cancel attempts.
+        idle_timeout_ms: the time for which servers keep an idle connection.
+        connect_timeout_ms: the longest time in which a connection may be established.
+        max_retry_after_ms: the longest Retry-After that clients respect.
+        hedging_allowed: whether a second attempt may start while the first is in flight.
+        health_checks_allowed: whether a node may send health checks to endpoints.
+        retry_after_allowed: whether rejections contain a Retry-After header.
+        max_attempts: the largest number of attempts of one request.
     """
 
     cancel_allowed: bool
@@ -111,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant: its share of the capacity and its quota in requests per second."""
+    """A tenant with its fraction of the capacity and its quota in requests per second."""
 
     name: str
     fraction: float
@@ -124,19 +129,19 @@
 
     Attributes:
         zones: the names of the zones.
-        node_count: nodes of this tier.
-        clients_mark_retries: clients mark a request that they send again.
-        guarantees: what servers and clients are guaranteed.
+        node_count: the number of nodes of this tier.
+        clients_mark_retries: whether clients mark a request that they send again.
+        guarantees: the guarantees to servers and clients.
         tiers: the names of the tiers.
-        zone_index: the position of the node's zone.
+        zone_index: the index of the node's zone in ``zones``.
         machine_types: the machine types of servers.
-        node_index: the node's position among the nodes of its tier.
-        limits: what the node may do.
-        classes: the classes of requests.
-        list_delivery: how the node gets changes of the endpoint list.
+        node_index: the index of the node among the nodes of its tier.
+        limits: the limits of what the node may do.
+        classes: the request classes.
+        list_delivery: the way in which the node receives changes of the endpoint list.
         tenants: the tenants.
         tick_ms: the shortest time between two batches of events.
-        weights: whether the weights in the endpoint list are meaningful.
+        weights: a word that says whether the weights in the endpoint list are meaningful.
     """
 
     zones: tuple[str, ...]
--- a/tests/fault_soak/test_clients.py
+++ b/tests/fault_soak/test_clients.py
@@ -33,7 +33,7 @@
         settings=plan.settings,
         descriptors=plan.descriptors,
         discovery_address=str,
-        known_list=lambda: EndpointList(0, True, ()),
+        cached_list=lambda: EndpointList(0, True, ()),
         history=history,
     )
 
