--- a/fault_soak/injection/clients.py
+++ b/fault_soak/injection/clients.py
@@ -1,4 +1,4 @@
-"""Faults of clients."""
+"""Injectors of faults of clients."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def leave_early(environment: Environment, fault: Fault) -> int | None:
-    """Raise the fraction of requests whose client leaves before the response."""
+    """Increase the fraction of requests whose client leaves before the response."""
     behaviour = environment.clients.behaviour
     behaviour.leave_fraction += EARLY_LEAVE_FRACTION
     await asyncio.sleep(fault.length_s)
@@ -23,7 +23,7 @@
 
 
 async def stop_within_requests(environment: Environment, fault: Fault) -> int | None:
-    """Have two clients stop within a request: the first of a connection, and a later one."""
+    """Make one client stop within the first request of its connection, and another within a later request."""
     for first in (True, False):
         node = environment.rng.choice(environment.nodes)
         if node.admitted:
@@ -32,7 +32,7 @@
 
 
 async def pipeline(environment: Environment, fault: Fault) -> int | None:
-    """Have a client send many requests at once on one connection."""
+    """Make a client send many requests at once on one connection."""
     node = environment.node_of(fault)
     if node.admitted:
         count = environment.rng.choice(PIPELINED_REQUESTS)
@@ -41,7 +41,7 @@
 
 
 async def send_garbage(environment: Environment, fault: Fault) -> int | None:
-    """Have clients send input that is not HTTP."""
+    """Make clients send invalid input."""
     for _ in range(GARBAGE_CONNECTIONS):
         node = environment.rng.choice(environment.nodes)
         if node.admitted:
@@ -50,7 +50,7 @@
 
 
 async def write_slowly(environment: Environment, fault: Fault) -> int | None:
-    """Have all clients write their requests in pieces."""
+    """Make all clients write their requests slowly, in several parts."""
     behaviour = environment.clients.behaviour
     behaviour.slow = True
     await asyncio.sleep(fault.length_s)
@@ -59,7 +59,7 @@
 
 
 async def hold_idle_connections(environment: Environment, fault: Fault) -> int | None:
-    """Open a burst of connections to one node, and keep them idle."""
+    """Open a burst of connections to one node and keep them idle."""
     node = environment.node_of(fault)
     count = min(environment.plan.descriptors, MAX_IDLE_CONNECTIONS)
     await environment.clients.faulty.hold_idle_connections(node, count, fault.length_s)
--- a/fault_soak/injection/discovery.py
+++ b/fault_soak/injection/discovery.py
@@ -1,4 +1,4 @@
-"""Faults of discovery and of the watches on it."""
+"""Injectors of faults of discovery and of the nodes' watches on discovery."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def take_down(environment: Environment, fault: Fault) -> int | None:
-    """Have every agent lose discovery for a while."""
+    """Disconnect every agent from discovery for the length of the fault."""
     for agent in environment.agents:
         agent.set_down(True)
     await asyncio.sleep(fault.length_s)
@@ -22,7 +22,7 @@
 
 
 async def silence_watches(environment: Environment, fault: Fault) -> int | None:
-    """Have nothing arrive any more on the watches that are open; returns their number."""
+    """Send nothing more on the watches that are open; return the number of these watches."""
     agent = environment.agent_of(fault)
     before = agent.fired
     agent.silence_watches()
@@ -30,15 +30,18 @@
 
 
 async def reset_watches(environment: Environment, fault: Fault) -> int | None:
-    """Reset the watches that are open; returns their number."""
+    """Reset the watches that are open; return the number of these watches."""
     agent = environment.agent_of(fault)
     before = agent.fired
     agent.reset_watches()
     return agent.fired - before
 
 
-async def send_lists_in_pieces(environment: Environment, fault: Fault) -> int | None:
-    """Send lists cut in two and often, most of them without a change; returns how many were cut."""
+async def split_lists(environment: Environment, fault: Fault) -> int | None:
+    """Announce often, and send each list split into two chunks; return the number of lists that were split.
+
+    Most of the announcements contain no change of the server's state.
+    """
     agent = environment.agent_of(fault)
     before = agent.fired
     agent.split_lists = True
--- a/fault_soak/injection/environment.py
+++ b/fault_soak/injection/environment.py
@@ -1,4 +1,4 @@
-"""The environment of one scenario, which faults act on."""
+"""The environment of one scenario, on which faults act."""
 
 from __future__ import annotations
 
@@ -14,24 +14,25 @@
 from fault_soak.plan import Plan
 from fault_soak.servers import StubServer
 
-ALSO_HIT_PROBABILITY = 0.3  # of every other server, to be hit by the fault of a server as well
+ADDITIONAL_SERVER_PROBABILITY = 0.3
+"""The probability that the misbehaviour of a server also affects another server, for each other server."""
 
 
 @dataclass(slots=True)
 class Environment:
-    """Everything that faults act on.
+    """The parts of a running scenario on which faults act.
 
     Attributes:
         plan: the plan of the scenario.
-        history: where faults are recorded.
+        history: the history in which faults are recorded.
         nodes: the nodes.
         agents: the discovery agent of each node.
         servers: the stub servers.
-        fleet: what discovery knows of the servers.
+        fleet: the state of the servers that discovery knows.
         clients: the stub clients.
-        rng: the source of every random choice of a fault.
-        busy_nodes: nodes that a fault is stopping or starting.
-        busy_servers: servers that a fault is stopping or starting.
+        rng: the source of the random choices of faults.
+        busy_nodes: the names of the nodes that a fault is stopping or starting.
+        busy_servers: the names of the servers that a fault is stopping or starting.
     """
 
     plan: Plan
@@ -46,24 +47,27 @@
     busy_servers: set[str] = field(default_factory=set)
 
     def node_of(self, fault: Fault) -> NodeProcess:
-        """The node that a fault is aimed at."""
+        """Return the node that is the target of a fault."""
         return self.nodes[fault.target % len(self.nodes)]
 
     def agent_of(self, fault: Fault) -> Agent:
-        """The agent that a fault is aimed at."""
+        """Return the agent of the node that is the target of a fault."""
         return self.agents[fault.target % len(self.agents)]
 
     def server_of(self, fault: Fault) -> StubServer:
-        """The server that a fault is aimed at."""
+        """Return the server that is the target of a fault."""
         return self.servers[fault.target % len(self.servers)]
 
-    def servers_hit_by(self, fault: Fault) -> list[StubServer]:
-        """The server that a fault is aimed at, and others that are hit as well."""
+    def servers_affected_by(self, fault: Fault) -> list[StubServer]:
+        """Return the server that is the target of a fault, and a random selection of other servers."""
         target = self.server_of(fault)
-        return [s for s in self.servers if s is target or self.rng.random() < ALSO_HIT_PROBABILITY]
+        return [s for s in self.servers if s is target or self.rng.random() < ADDITIONAL_SERVER_PROBABILITY]
 
     def announce(self, server: StubServer, lifecycle: Lifecycle | None = None) -> None:
-        """Notify every agent of a server's present state, each after a delay of its own."""
+        """Notify every agent of a server's current state, each agent after its own random delay.
+
+        ``lifecycle``, if given, replaces the server's own lifecycle.
+        """
         change = self.fleet.announce(server.row, lifecycle)
         loop = asyncio.get_running_loop()
         for agent in self.agents:
--- a/fault_soak/injection/injector.py
+++ b/fault_soak/injection/injector.py
@@ -1,4 +1,4 @@
-"""Dispatches each fault of a schedule to its injector and records its beginning and end."""
+"""The dispatch of each fault to the injector of its kind, and the recording of its beginning and end."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     FaultKind.DISCOVERY_DOWN: discovery.take_down,
     FaultKind.WATCH_SILENT: discovery.silence_watches,
     FaultKind.WATCH_RESET: discovery.reset_watches,
-    FaultKind.LIST_PIECES: discovery.send_lists_in_pieces,
+    FaultKind.LIST_PIECES: discovery.split_lists,
     FaultKind.SERVER_DRAIN: servers.drain,
     FaultKind.SERVER_CRASH: servers.crash,
     FaultKind.SERVER_HANG: partial(servers.misbehave, Misbehaviour.HANG),
@@ -60,7 +60,7 @@
 
 
 async def inject(environment: Environment, index: int, fault: Fault) -> None:
-    """Carry out one fault of the schedule; several may run concurrently."""
+    """Inject one fault of the schedule and record its beginning and end; faults may run concurrently."""
     kind, target = fault.kind.value, _target_name(environment, fault)
     environment.history.add(FaultBegan(History.now(), index, kind, target))
     fired = await INJECTORS[fault.kind](environment, fault)
--- a/fault_soak/injection/links.py
+++ b/fault_soak/injection/links.py
@@ -1,4 +1,4 @@
-"""Faults of the network before one server."""
+"""Injectors of faults of the network in front of a server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def change_state(state: LinkState, environment: Environment, fault: Fault) -> int | None:
-    """Change what the proxy before a server does; returns how often that took effect."""
+    """Change the state of the proxy in front of a server; return how often the state took effect."""
     server = environment.server_of(fault)
     proxy = server.proxy
     if not server.up or proxy is None:
--- a/fault_soak/injection/nodes.py
+++ b/fault_soak/injection/nodes.py
@@ -1,4 +1,4 @@
-"""Faults of the nodes' processes and of their logs."""
+"""Injectors of faults of node processes and of their logs."""
 
 from __future__ import annotations
 
@@ -12,22 +12,32 @@
 from fault_soak.servers import Misbehaviour, StubServer
 
 KILL_GRACE_S = 0.7
+"""The time in seconds from the longest deadline after SIGTERM until SIGKILL."""
+
 MAX_KILL_DEADLINE_S = 3.0
+"""The longest deadline in seconds that delays SIGKILL after SIGTERM."""
+
 NEW_CONNECTIONS_AFTER_TERM_S = (0.2, 0.4)
+"""The minimum and maximum time in seconds after SIGTERM during which clients open new connections."""
+
 PAUSE_S = (0.03, 0.15)
 BETWEEN_PAUSES_S = (0.2, 0.6)
+
 HANG_AT_TERM_PROBABILITY = 0.5
-DEAD_UNNOTICED_S = 0.3
+"""The probability that servers hang during the graceful shutdown of a node."""
+
+RESTART_DELAY_S = 0.3
+"""The time in seconds between the kill of a node and its restart."""
 
 
 def kill_delay_s(plan: Plan) -> float:
-    """How long after SIGTERM a SIGKILL comes."""
+    """Return the time in seconds from SIGTERM to SIGKILL."""
     longest_s = max(request_class.deadline_ms for request_class in plan.settings.classes) / 1000.0
     return min(longest_s, MAX_KILL_DEADLINE_S) + KILL_GRACE_S
 
 
 async def terminate(environment: Environment, fault: Fault) -> int | None:
-    """Send SIGTERM, let the node drain, and start it again."""
+    """Send SIGTERM, wait for the graceful shutdown of the node, and start the node again."""
     node, rng = environment.node_of(fault), environment.rng
     if node.name in environment.busy_nodes or not node.alive or not node.admitted:
         return 0
@@ -46,7 +56,7 @@
 
 
 def _hang_servers(environment: Environment) -> list[StubServer]:
-    """Have half of the servers hang for a complete shutdown."""
+    """Make each server hang with probability 0.5, and return the servers that hang."""
     hanging = [server for server in environment.servers if environment.rng.random() < 0.5]
     for server in hanging:
         server.misbehaviour = Misbehaviour.HANG
@@ -54,20 +64,20 @@
 
 
 async def kill(environment: Environment, fault: Fault) -> int | None:
-    """Kill the node, and start it again a little later."""
+    """Kill the node and start it again after a short delay."""
     node = environment.node_of(fault)
     if node.name in environment.busy_nodes or not node.alive:
         return 0
     environment.busy_nodes.add(node.name)
     await node.kill()
-    await asyncio.sleep(DEAD_UNNOTICED_S)
+    await asyncio.sleep(RESTART_DELAY_S)
     await node.start()
     environment.busy_nodes.discard(node.name)
     return 1
 
 
 async def pause(environment: Environment, fault: Fault) -> int | None:
-    """Stop and continue the node's process again and again."""
+    """Pause and continue the node process repeatedly; return the number of pauses."""
     node, rng = environment.node_of(fault), environment.rng
     times = 0
     until = History.now() + fault.length_s
@@ -81,7 +91,7 @@
 
 
 async def stall_log(environment: Environment, fault: Fault) -> int | None:
-    """Do not read the node's log for a while."""
+    """Stop reading the node's log for the length of the fault, so that the pipe of the log fills up."""
     node = environment.node_of(fault)
     node.log_read_allowed.clear()
     await asyncio.sleep(fault.length_s)
@@ -90,7 +100,7 @@
 
 
 async def close_log(environment: Environment, fault: Fault) -> int | None:
-    """Close the read end of the node's log."""
+    """Close the read end of the node's log, so that the node's writes to the log fail."""
     environment.node_of(fault).close_log()
     await asyncio.sleep(fault.length_s)
     return 1
--- a/fault_soak/injection/reloads.py
+++ b/fault_soak/injection/reloads.py
@@ -1,4 +1,4 @@
-"""Changes of a node's configuration, which move its discovery to another address."""
+"""Injectors that change a node's configuration to move its discovery agent to another address."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 from fault_soak.nodes import NodeProcess
 
 OLD_AGENT_CLOSES_S = 1.0
+"""The time in seconds after a change of the configuration until the agent closes its old listener."""
+
 REST_OF_FILE_DELAY_S = 0.05
+"""The time in seconds between the writes of a truncated and of the complete configuration file."""
 
 
 async def move_discovery(node: NodeProcess, agent: Agent) -> None:
-    """Have the agent listen at a new address, and notify the node of it by a new configuration."""
+    """Make the agent listen at a new address, and give the node a configuration with this address."""
     old = await agent.move()
     node.write_configuration()
     node.signal(signal.SIGHUP)
@@ -23,7 +26,7 @@
 
 
 async def restart_and_reload(environment: Environment, fault: Fault) -> int | None:
-    """Have a new configuration arrive while the node starts."""
+    """Restart the node, and change its configuration while it starts."""
     node, agent = environment.node_of(fault), environment.agent_of(fault)
     if node.name in environment.busy_nodes or not node.alive:
         return 0
@@ -37,7 +40,7 @@
 
 
 async def reload(environment: Environment, fault: Fault) -> int | None:
-    """Change the configuration one to three times, shortly one after another."""
+    """Change the configuration one to three times in quick succession; return the number of changes."""
     node, agent, rng = environment.node_of(fault), environment.agent_of(fault), environment.rng
     times = rng.choice((1, 1, 2, 3))
     moves = []
@@ -49,7 +52,7 @@
 
 
 async def reload_partial(environment: Environment, fault: Fault) -> int | None:
-    """Send the signal while the file is half written; the rest follows at once, without a signal."""
+    """Send SIGHUP while the configuration file is truncated, then complete it without another SIGHUP."""
     node, agent = environment.node_of(fault), environment.agent_of(fault)
     old = await agent.move()
     node.write_configuration(truncated=True)
--- a/fault_soak/injection/servers.py
+++ b/fault_soak/injection/servers.py
@@ -1,4 +1,4 @@
-"""Faults of servers: drains, crashes and misbehaviour."""
+"""Injectors of faults of servers: drains, crashes and misbehaviour."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def drain(environment: Environment, fault: Fault) -> int | None:
-    """Drain a server, remove it from the list, and replace it by a new process."""
+    """Drain a server, delete it from the endpoint list, end its process and start a new process."""
     server, rng = environment.server_of(fault), environment.rng
     if server.name in environment.busy_servers or not server.up:
         return 0
@@ -31,7 +31,7 @@
 
 
 async def crash(environment: Environment, fault: Fault) -> int | None:
-    """Crash a server without notice, and replace it by a new process."""
+    """Crash a server without announcing it, and start a new process after the length of the fault."""
     server = environment.server_of(fault)
     if server.name in environment.busy_servers or not server.up:
         return 0
@@ -49,8 +49,8 @@
 
 
 async def misbehave(misbehaviour: Misbehaviour, environment: Environment, fault: Fault) -> int | None:
-    """Have a server, and perhaps others, misbehave; returns how often they did."""
-    servers = environment.servers_hit_by(fault)
+    """Make a server, and possibly others, misbehave; return the number of times that this took effect."""
+    servers = environment.servers_affected_by(fault)
     before = sum(server.fired for server in servers)
     for server in servers:
         server.misbehaviour = misbehaviour
--- a/fault_soak/injection/system_calls.py
+++ b/fault_soak/injection/system_calls.py
@@ -1,4 +1,4 @@
-"""System calls of a node that fail, are interrupted or take long."""
+"""The injector of faults of a node's system calls, which fail, are interrupted or take a long time."""
 
 from __future__ import annotations
 
@@ -22,18 +22,21 @@
     Failure.PAUSE: 30,
     Failure.CLOCK: CLOCK_STEP_S,
 }
-"""How many of a thousand calls fail; for the clock its step in seconds."""
+"""The number of calls in a thousand that fail; for CLOCK the step of the wall clock in seconds."""
 
 
 async def fail(failure: Failure, environment: Environment, fault: Fault) -> int | None:
-    """Have system calls of the node fail; returns how many did."""
+    """Cause a failure in system calls of the node, and return the number of calls in which it happened.
+
+    Return None if the node runs without the shim because the machine has no C compiler.
+    """
     node = environment.node_of(fault)
     if node.shim is None:
         return None
     error = environment.rng.choice(ERRORS[failure])
     before = node.shim.fired(failure)
     node.shim.set(failure, _THOUSANDTHS[failure], error)
-    if failure is Failure.OPEN:  # have the node open its file while that fails
+    if failure is Failure.OPEN:  # make the node open its configuration file while the call fails
         await move_discovery(node, environment.agent_of(fault))
     await asyncio.sleep(fault.length_s)
     node.shim.clear(failure)
--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -246,7 +246,7 @@
 
 @contextmanager
 def mutated_tree(root: Path, mutation: Mutation) -> Iterator[Path]:
-    """Create a temporary copy of the checkout with one guard broken, and remove it at the end of the context."""
+    """Create a temporary copy of the checkout with one guard broken, and remove the copy at the end."""
     with tempfile.TemporaryDirectory(prefix="fault-soak-mutation-") as name:
         tree = Path(name)
         for part in ("load_balancer", "deploy"):
--- a/fault_soak/nodes.py
+++ b/fault_soak/nodes.py
@@ -55,7 +55,7 @@
         history: the history in which starts, exits, log lines and the use of resources are recorded.
         shim: the control of failing system calls; None if the machine has no C compiler.
         library: the path of the shim that the node preloads; None if the machine has no C compiler.
-        incarnation: the number of processes that have been started, which is the number of the latest process.
+        incarnation: the number of the latest process; the first process has the number 1.
         admitted: whether clients may open new connections to the node.
         process: the running or latest process.
         log_read_allowed: an event that is set while the fault test reads the node's log.
