--- a/fault_soak/clients/__init__.py
+++ b/fault_soak/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Stub clients, which send requests, wait, leave early, send again on another connection, or misbehave."""
+"""Stub clients, which send requests, wait for responses, leave early, resend requests, or misbehave."""
--- a/fault_soak/clients/connections.py
+++ b/fault_soak/clients/connections.py
@@ -14,7 +14,15 @@
 
 @dataclass(slots=True, eq=False)
 class ClientConnection:
-    """A connection to one process of a node; answered is set once a response has come on it."""
+    """A connection to one process of a node.
+
+    Attributes:
+        node: the node.
+        incarnation: the number of the node process.
+        reader: the reader of the connection.
+        writer: the writer of the connection.
+        answered: whether the client has received a response on the connection.
+    """
 
     node: NodeProcess
     incarnation: int
@@ -24,16 +32,16 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether neither side has closed it, as far as this side has noticed."""
+        """Whether the connection is open, as far as the client has noticed."""
         return not self.writer.transport.is_closing() and not self.reader.at_eof()
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the connection at once, without sending buffered data."""
         self.writer.transport.abort()
 
 
 async def connect(node: NodeProcess) -> ClientConnection | None:
-    """Open a connection; returns None where the node could not be reached."""
+    """Open a connection and return it, or return None if the node could not be reached in time."""
     incarnation = node.incarnation
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -54,13 +62,16 @@
         self._by_node[connection.node.name].append(connection)
 
     def discard(self, connection: ClientConnection) -> None:
-        """Keep a connection no longer, if it was kept."""
+        """Remove a connection if it is kept."""
         idle = self._by_node[connection.node.name]
         if connection in idle:
             idle.remove(connection)
 
     def take(self, node: NodeProcess) -> ClientConnection | None:
-        """The latest connection that is open to the node's present process; others are closed."""
+        """Remove and return the latest open connection to the node's current process, or return None.
+
+        Connections that are found closed, or that were opened to an earlier process, are closed and removed.
+        """
         idle = self._by_node[node.name]
         while idle:
             connection = idle.pop()
--- a/fault_soak/clients/exchange.py
+++ b/fault_soak/clients/exchange.py
@@ -1,4 +1,4 @@
-"""Sends requests on connections, waits for their responses, and records both."""
+"""The exchange of requests and responses on connections, and the recording of both."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from fault_soak.history import ClientLeft, History, RequestSent, ResponseMissing, ResponseReceived
 from fault_soak.http import Message, read_message
 
-GIVE_UP_AFTER_S = 0.7  # after the deadline: a request counts as lost half a second after it
-SLOW_PIECES = 4
+GIVE_UP_AFTER_S = 0.7  # after the deadline; a request counts as lost 0.5 s after the deadline
+SLOW_PARTS = 4
 SLOW_INTERVAL_S = 0.05
 
 
 @dataclass(slots=True)
 class ClientBehaviour:
-    """What clients do at present; the faults of a schedule change it.
+    """The current behaviour of the ordinary clients, which the faults of a schedule change.
 
     Attributes:
-        rate_factor: the load as a multiple of the planned one.
-        leave_fraction: the fraction of requests whose client leaves early.
-        slow: requests are written in pieces.
+        rate_factor: the load as a multiple of the planned load.
+        leave_fraction: the fraction of requests whose client leaves before the response.
+        slow: whether clients write requests slowly, in several parts.
     """
 
     rate_factor: float = 1.0
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRecorder:
-    """Records what clients send and receive."""
+    """A recorder of the requests that clients send and of the responses that they receive."""
 
     history: History
 
@@ -44,7 +44,7 @@
         *,
         resent: bool = False,
     ) -> None:
-        """Record that a request was written, from this time on."""
+        """Record that the last byte of a request is written now; its first byte was at ``first_byte_at``."""
         self.history.add(
             RequestSent(
                 History.now(),
@@ -67,7 +67,7 @@
         )
 
     def missing(self, request: ClientRequest, *, closed: bool, unread_allowed: bool) -> None:
-        """Record that a response did not come."""
+        """Record that the client stopped waiting without having received a complete response."""
         self.history.add(ResponseMissing(History.now(), request.request_id, closed, unread_allowed))
 
     def left(self, request: ClientRequest) -> None:
@@ -77,7 +77,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestExchange:
-    """Sends one request at a time on a connection, and keeps the connection where the node does."""
+    """The exchange of one request at a time on a connection, which is kept if the node keeps the connection.
+
+    Attributes:
+        behaviour: the current behaviour of the clients.
+        idle: the idle connections, to which a connection is added after a response.
+        recorder: the recorder of requests and responses.
+    """
 
     behaviour: ClientBehaviour
     idle: IdleConnections
@@ -96,8 +102,8 @@
         Args:
             connection: the connection to use.
             request: the request.
-            leave_s: after how long the client leaves; None where it waits.
-            resent: the request was sent before, on another connection.
+            leave_s: the time in seconds after which the client leaves; None if it waits for the response.
+            resent: whether the request was sent before, on another connection.
 
         Returns:
             Whether the request may be sent again on a new connection.
@@ -127,13 +133,13 @@
             self.recorder.missing(request, closed=True, unread_allowed=reused and nothing_read)
             return reused and nothing_read
         self.recorder.received(request, message)
-        self._release(connection, message)
+        self._keep_or_close(connection, message)
         return False
 
     async def _write(self, connection: ClientConnection, text: bytes) -> None:
         if self.behaviour.slow:
-            size = len(text) // SLOW_PIECES + 1
-            for i in range(SLOW_PIECES):
+            size = len(text) // SLOW_PARTS + 1
+            for i in range(SLOW_PARTS):
                 if i > 0:
                     await asyncio.sleep(SLOW_INTERVAL_S)
                 connection.writer.write(text[i * size : (i + 1) * size])
@@ -141,7 +147,7 @@
         connection.writer.write(text)
         await connection.writer.drain()
 
-    def _release(self, connection: ClientConnection, message: Message) -> None:
+    def _keep_or_close(self, connection: ClientConnection, message: Message) -> None:
         connection.answered = True
         if message.closes_connection:
             connection.writer.close()
--- a/fault_soak/clients/faulty.py
+++ b/fault_soak/clients/faulty.py
@@ -17,12 +17,14 @@
 from fault_soak.nodes import NodeProcess
 
 STOPPED_FOR_S = 4.5
+"""The time in seconds for which a faulty client waits for a response or the close of its connection."""
+
 INCOMPLETE_DEADLINE_S = 1.0
 GARBAGE = (b"\x00\x01\x02\r\n\r\n", b"GET /api HTTP/9.9\r\n\r\n", b"A" * 70000)
 
 
 class FaultyClients:
-    """Clients that stop, pipeline, send garbage or only connect."""
+    """Clients that stop within a request, pipeline requests, send invalid input or only open connections."""
 
     _client_numbers = itertools.count(1)
 
@@ -34,7 +36,12 @@
         self._rng = rng
 
     async def stop_within_request(self, node: NodeProcess, *, first: bool) -> None:
-        """Send part of a request, as the first of a connection or after another one, and wait."""
+        """Send a part of a request, and wait until the node responds or closes the connection.
+
+        Args:
+            node: the node to connect to.
+            first: whether the request is the first on its connection; otherwise it follows a complete one.
+        """
         connection = await connect(node)
         if connection is None:
             return
@@ -56,7 +63,7 @@
         connection.abort()
 
     async def pipeline(self, node: NodeProcess, count: int) -> None:
-        """Send many requests at once on one connection, and read the responses in order."""
+        """Send many requests at once on one connection and read the responses in order."""
         connection = await connect(node)
         if connection is None:
             return
@@ -84,7 +91,7 @@
             closing = message.closes_connection
 
     async def send_garbage(self, node: NodeProcess) -> None:
-        """Send input that is not a request, and wait for the error or the close."""
+        """Send invalid input, and wait until the node responds with an error or closes the connection."""
         connection = await connect(node)
         if connection is None:
             return
@@ -96,7 +103,7 @@
         connection.abort()
 
     async def hold_idle_connections(self, node: NodeProcess, count: int, seconds: float) -> None:
-        """Open idle connections and keep them."""
+        """Open connections and keep them idle for a time."""
         opened = [c for c in [await connect(node) for _ in range(count)] if c is not None]
         await asyncio.sleep(seconds)
         for connection in opened:
@@ -104,7 +111,7 @@
 
 
 def _with_pipelined_deadlines(requests: Sequence[ClientRequest]) -> list[ClientRequest]:
-    """The requests with the deadlines of those before them, as responses are sent in order."""
+    """Return the requests, each with the longest deadline up to it, because responses are sent in order."""
     deadlines_s = itertools.accumulate((request.deadline_s for request in requests), max)
     return [
         replace(request, deadline_s=deadline_s)
--- a/fault_soak/clients/population.py
+++ b/fault_soak/clients/population.py
@@ -1,4 +1,4 @@
-"""The population of ordinary clients, which send the planned load."""
+"""The population of clients, of which the ordinary clients send the planned load."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """All clients of a scenario.
 
     Attributes:
-        behaviour: what ordinary clients do at present.
+        behaviour: the current behaviour of the ordinary clients.
         faulty: the clients that misbehave.
     """
 
@@ -35,7 +35,7 @@
         self.faulty = FaultyClients(self._requests, self._exchange, rng)
 
     async def run(self, seconds: float) -> None:
-        """Send the planned load for a time, then wait for the requests that are open."""
+        """Send the planned load for a time, then wait for the open requests."""
         until = History.now() + seconds
         while History.now() < until:
             rate = self._plan.requests_per_s * len(self._nodes) * self.behaviour.rate_factor
@@ -47,7 +47,7 @@
             await asyncio.sleep(0.05)
 
     def spawn(self, coroutine: Coroutine[object, object, None]) -> None:
-        """Run a client concurrently, and wait for it at the end of the load."""
+        """Run the coroutine of a client concurrently; ``run`` waits until the coroutine has ended."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/fault_soak/clients/requests.py
+++ b/fault_soak/clients/requests.py
@@ -12,12 +12,19 @@
 METHODS = {"look": "GET", "move": "POST", "book": "POST"}
 CLASS_MIX = ("look", "look", "move", "book")
 BODY_BYTES = (0, 40, 3000)
-PATHS = 50
+PATH_COUNT = 50
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request before it is sent."""
+    """A request of a client.
+
+    Attributes:
+        request_id: the id of the request.
+        class_name: the name of the request class.
+        deadline_s: the time in seconds that the client waits for the response.
+        text: the bytes of the request.
+    """
 
     request_id: str
     class_name: str
@@ -26,24 +33,24 @@
 
 
 class RequestFactory:
-    """Draws valid requests, each with an id of its own."""
+    """A factory of random valid requests, each with its own id."""
 
     def __init__(self, classes: Iterable[RequestClass], rng: random.Random) -> None:
         self._deadlines_s = {c.name: c.deadline_ms / 1000.0 for c in classes}
         self._rng = rng
 
     def draw(self) -> ClientRequest:
-        """A request of a random class."""
+        """Build a request of a random class."""
         return self.build(self._rng.choice(CLASS_MIX))
 
     def build(self, class_name: str, deadline_s: float | None = None) -> ClientRequest:
-        """A request of a class, with the deadline of its class unless another one is given."""
+        """Build a request of a class, with the deadline of the class unless another deadline is given."""
         if deadline_s is None:
             deadline_s = self._deadlines_s[class_name]
         request_id = uuid.UUID(int=self._rng.getrandbits(128)).hex
         body = b"" if class_name == "look" else b"x" * self._rng.choice(BODY_BYTES)
         lines = [
-            f"{METHODS[class_name]} /api/item{self._rng.randrange(PATHS)} HTTP/1.1",
+            f"{METHODS[class_name]} /api/item{self._rng.randrange(PATH_COUNT)} HTTP/1.1",
             "Host: api.internal",
             f"X-Request-Id: {request_id}",
             f"X-Class: {class_name}",
