--- a/tests/fault_soak/__init__.py
+++ b/tests/fault_soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the fault test: its oracle, its plans, its shims, and a short run of it."""
+"""Tests of the fault test, including a short run of it."""
--- a/tests/fault_soak/test_clients.py
+++ b/tests/fault_soak/test_clients.py
@@ -1,4 +1,9 @@
-"""What stub clients record lets the oracle tell what happened to a request, in whatever order it happened."""
+"""Tests that stub clients record slow requests so that the oracle interprets them correctly.
+
+The oracle excuses a response that is missing because a read failed on the node. A slow client writes a
+request over some time, so the fault that makes reads fail may end before the client has written the last
+byte. The oracle therefore needs the times of the first and of the last byte.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +29,7 @@
 
 
 def _node(server: asyncio.Server, plan: Plan, history: History, directory: Path) -> NodeProcess:
-    """A node without a process of its own: clients reach the server in its place."""
+    """Create a node without a process; clients that connect to it reach the given server."""
     return NodeProcess(
         NODE,
         tree=directory,
@@ -62,7 +67,7 @@
     clients.behaviour.slow = True
     monkeypatch.setattr("fault_soak.clients.exchange.asyncio.sleep", pause_until_fault_ended)
     history.add(FaultBegan(History.now(), *FAULT))
-    # The request that comes first is complete; nothing follows it, as its connection is closed.
+    # The first request is complete. The client sends no second request, because the connection is closed.
     await clients.faulty.stop_within_request(node, first=False)
     server.close()
     (sent,), (missing,) = history.events_of(RequestSent), history.events_of(ResponseMissing)
--- a/tests/fault_soak/test_injection.py
+++ b/tests/fault_soak/test_injection.py
@@ -1,4 +1,4 @@
-"""Every kind of fault has an injector."""
+"""Tests of the injectors of faults."""
 
 from __future__ import annotations
 
--- a/tests/fault_soak/test_mutations.py
+++ b/tests/fault_soak/test_mutations.py
@@ -1,4 +1,4 @@
-"""Every mutation finds the source text that it replaces."""
+"""Tests that every mutation finds the source text that it replaces."""
 
 from __future__ import annotations
 
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -1,4 +1,4 @@
-"""Each rule of the oracle is broken by one history, and kept by the same one with one event changed."""
+"""Tests of the rules of the oracle, mostly with two similar histories: one keeps a rule and one breaks it."""
 
 from __future__ import annotations
 
@@ -89,7 +89,8 @@
     )
 
 
-def _broken(*events: HistoryEvent) -> set[Rule]:
+def _broken_rules(*events: HistoryEvent) -> set[Rule]:
+    """Return the rules that a history of these events breaks, after the start of a node."""
     history = History([START, READY, *events])
     result = ScenarioResult(_plan(), history, worst_lag_s=0.0, shim_loaded=True)
     return {violation.rule for violation in find_violations(result)}
@@ -110,7 +111,7 @@
 
 
 def _closed_under_read_failures(first_byte_at: float, sent_at: float, closed_at: float) -> list[HistoryEvent]:
-    """Reads fail on the node from 1.0 to 2.0 s while a client writes, and finds its connection closed."""
+    """Build events: reads fail on the node from 1.0 to 2.0 s, and a client's connection is closed."""
     return [
         FaultBegan(1.0, 0, FaultKind.SYSCALL_READ.value, "n0"),
         FaultEnded(2.0, 0, FaultKind.SYSCALL_READ.value, "n0", 1),
@@ -119,60 +120,64 @@
     ]
 
 
-def _answer(status: int = 200, at: float = 1.2, body: bytes = b"", after: float | None = 0.1) -> HistoryEvent:
+def _response(
+    status: int = 200, at: float = 1.2, body: bytes = b"", after: float | None = 0.1
+) -> HistoryEvent:
     return ResponseReceived(at, "r", status, body, after)
 
 
-def test_served_request_breaks_nothing() -> None:
+def test_served_request_breaks_no_rule() -> None:
     attempt = [_sent(), _received(1.1), _done(1.15, AttemptResult.SERVED)]
-    assert _broken(*attempt, _answer(body=served_body("s0", "r"))) == set()
+    assert _broken_rules(*attempt, _response(body=served_body("s0", "r"))) == set()
 
 
 @pytest.mark.parametrize(
-    ("kept", "broken", "rule"),
+    ("valid", "invalid", "rule"),
     [
-        pytest.param([_sent(), _answer(502, at=2.4)], [_sent(), _answer(502, at=2.6)], Rule.LOST, id="late"),
+        pytest.param(
+            [_sent(), _response(502, at=2.4)], [_sent(), _response(502, at=2.6)], Rule.LOST, id="late"
+        ),
         pytest.param(
             [_sent(), ResponseMissing(1.1, "r", True, True)],
             [_sent(), _received(1.05), ResponseMissing(1.1, "r", True, True)],
             Rule.LOST,
-            id="closed with an attempt",
+            id="closed unread is excused without an attempt only",
         ),
         pytest.param(
             [_sent(), ResponseMissing(1.1, "r", True, True)],
             [_sent(), ResponseMissing(1.1, "r", True, False)],
             Rule.CLOSED_UNREAD,
-            id="closed unread",
+            id="closed unread is excused where allowed",
         ),
         pytest.param(
             _closed_under_read_failures(1.9, 2.1, closed_at=2.1),
             _closed_under_read_failures(2.01, 2.1, closed_at=2.1),
             Rule.CLOSED_UNREAD,
-            id="first byte before the failing reads end, or after",
+            id="first byte before or after the end of failing reads",
         ),
         pytest.param(
             _closed_under_read_failures(1.9, 2.1, closed_at=2.25),
             _closed_under_read_failures(1.9, 2.1, closed_at=2.35),
             Rule.CLOSED_UNREAD,
-            id="slow request closed soon after its last byte, or late",
+            id="slow request closed soon or late after its last byte",
         ),
         pytest.param(
             _closed_under_read_failures(1.9, 1.9, closed_at=2.15),
             _closed_under_read_failures(1.9, 1.9, closed_at=2.25),
             Rule.CLOSED_UNREAD,
-            id="closed soon after the failing reads end, or late",
+            id="closed soon or late after the end of failing reads",
         ),
         pytest.param(
             _closed_under_read_failures(0.7, 0.9, closed_at=1.01),
             _closed_under_read_failures(0.7, 0.9, closed_at=0.99),
             Rule.CLOSED_UNREAD,
-            id="closed while reads fail, or before",
+            id="closed during or before failing reads",
         ),
         pytest.param(
             [_sent(), NodeSignalled(1.1, "n0", 1, signal.SIGKILL), ResponseMissing(1.1, "r", True, False)],
             [_sent(), NodeSignalled(2.9, "n0", 1, signal.SIGKILL), ResponseMissing(2.7, "r", False, False)],
             Rule.LOST,
-            id="killed before it was due, or after",
+            id="node killed before or after the response was due",
         ),
         pytest.param(
             [_sent("book"), _received(1.1), _done(1.1, AttemptResult.REJECTED), _received(1.2, "s1", 2)],
@@ -184,31 +189,37 @@
             [_sent("move"), _received(1.1), _done(1.2, AttemptResult.ERROR), _received(1.3, "s2", 2)],
             [_sent("move"), _received(1.1), _done(1.2, AttemptResult.ERROR), _received(1.3, "s1", 2)],
             Rule.DUPLICATE,
-            id="another zone",
+            id="keyed request executed in two zones",
         ),
         pytest.param(
             [_sent("move"), _received(1.1), _done(1.2, AttemptResult.ERROR), _received(1.4, "s2", 2)],
             [_sent("move"), _received(1.1), _done(1.2, AttemptResult.ERROR), _received(1.5, "s2", 2)],
             Rule.DUPLICATE,
-            id="past the window",
+            id="keyed request executed after the window",
         ),
         pytest.param(
-            [_sent("book"), _received(1.1), _done(1.1, AttemptResult.REJECTED), _answer(503)],
-            [_sent("book"), _received(1.1), _done(1.1, AttemptResult.ABANDONED), _answer(503)],
+            [_sent("book"), _received(1.1), _done(1.1, AttemptResult.REJECTED), _response(503)],
+            [_sent("book"), _received(1.1), _done(1.1, AttemptResult.ABANDONED), _response(503)],
             Rule.REJECTED_AFTER_RUN,
-            id="rejected after a run",
+            id="rejected after a possible execution",
         ),
         pytest.param(
-            [_sent(), _answer(503)], [_sent(), _answer(503, after=None)], Rule.RETRY_AFTER, id="no wait"
+            [_sent(), _response(503)],
+            [_sent(), _response(503, after=None)],
+            Rule.RETRY_AFTER,
+            id="no Retry-After",
         ),
         pytest.param(
-            [_sent(), _answer(503)], [_sent(), _answer(503, after=9.0)], Rule.RETRY_AFTER, id="long wait"
+            [_sent(), _response(503)],
+            [_sent(), _response(503, after=9.0)],
+            Rule.RETRY_AFTER,
+            id="too long Retry-After",
         ),
         pytest.param(
             [_sent(), _received(1.1), _done(1.2, AttemptResult.ABANDONED), _received(1.2, "s1", 2)],
             [_sent(), _received(1.1), _done(1.9, AttemptResult.ABANDONED), _received(1.2, "s1", 2)],
             Rule.HEDGED,
-            id="hedged",
+            id="hedged request",
         ),
         pytest.param(
             [_sent(), *(e for i in range(2) for e in (_received(1.1), _done(1.1, AttemptResult.REJECTED)))],
@@ -220,29 +231,29 @@
             [EndpointNotified(0.5, "n0", "s0", Lifecycle.DRAINING, 2), _sent(at=1.4), _received(1.5)],
             [EndpointNotified(0.5, "n0", "s0", Lifecycle.DRAINING, 2), _sent(at=1.4), _received(1.6)],
             Rule.DRAIN,
-            id="past the grace",
+            id="attempt after the drain grace",
         ),
         pytest.param(
             [_sent(), ClientLeft(1.2, "r"), _received(1.3)],
             [_sent(), ClientLeft(1.2, "r"), _received(1.4)],
             Rule.CLIENT_GONE,
-            id="client gone",
+            id="attempt after the client left",
         ),
         pytest.param(
             [_sent(), _received(1.1, forwarded_s=1.0)],
             [_sent(), _received(1.1, forwarded_s=1.1)],
             Rule.FORWARDED_DEADLINE,
-            id="forwarded too much",
+            id="forwarded deadline too long",
         ),
         pytest.param(
             [_sent(), _received(1.1, forwarded_s=0.001)],
             [_sent(), _received(1.1, forwarded_s=-0.001)],
             Rule.FORWARDED_DEADLINE,
-            id="forwarded no time",
+            id="forwarded deadline not positive",
         ),
         pytest.param(
-            [_sent(), _received(1.1), _answer(body=served_body("s0", "r"))],
-            [_sent(), _received(1.1), _answer(body=served_body("s0", "another"))],
+            [_sent(), _received(1.1), _response(body=served_body("s0", "r"))],
+            [_sent(), _received(1.1), _response(body=served_body("s0", "another"))],
             Rule.WRONG_BODY,
             id="wrong body",
         ),
@@ -250,7 +261,7 @@
             [ServerStarted(1.0, "s0", True), _sent(), *(_received(1.5, connection=i) for i in range(40))],
             [ServerStarted(1.0, "s0", True), _sent(), *(_received(1.5, connection=i) for i in range(80))],
             Rule.SLOW_START,
-            id="cold server",
+            id="overloaded during slow start",
         ),
         pytest.param(
             [NodeSignalled(1.0, "n0", 1, signal.SIGTERM), NodeExited(1.6, "n0", 1, 0)],
@@ -268,7 +279,7 @@
             [IncompleteRequestStopped(1.0, 1, "n0", 1), IncompleteRequestReleased(3.5, 1)],
             [IncompleteRequestStopped(1.0, 1, "n0", 1), IncompleteRequestReleased(4.5, 1)],
             Rule.BAD_CLIENT,
-            id="stopped client",
+            id="client stopped within a request",
         ),
         pytest.param(
             [NodeMeasured(1.0, "n0", 1, 64, 20_000)],
@@ -290,29 +301,29 @@
         ),
     ],
 )
-def test_rule_distinguishes_kept_from_broken(
-    kept: list[HistoryEvent], broken: list[HistoryEvent], rule: Rule
+def test_rule_accepts_valid_history_and_rejects_invalid_history(
+    valid: list[HistoryEvent], invalid: list[HistoryEvent], rule: Rule
 ) -> None:
-    assert rule not in _broken(*kept)
-    assert rule in _broken(*broken)
+    assert rule not in _broken_rules(*valid)
+    assert rule in _broken_rules(*invalid)
 
 
-def test_counters_that_miss_an_attempt_are_found() -> None:
-    end = [NodeSignalled(2.0, "n0", 1, signal.SIGTERM), NodeExited(2.6, "n0", 1, 0)]
-    events = [_sent(), _received(1.1), _done(1.2, AttemptResult.ERROR), _answer(502)]
+def test_counters_that_miss_an_attempt_break_rule() -> None:
+    exit_events = [NodeSignalled(2.0, "n0", 1, signal.SIGTERM), NodeExited(2.6, "n0", 1, 0)]
+    events = [_sent(), _received(1.1), _done(1.2, AttemptResult.ERROR), _response(502)]
     counted = NodeLogged(
         2.5, "n0", 1, "INFO counters_reported accepted=1 abandoned=0 written=1 responses=502:1"
     )
-    missed = replace(counted, line=counted.line.replace("written=1", "written=0"))
-    assert Rule.COUNTERS not in _broken(*events, counted, *end)
-    assert Rule.COUNTERS in _broken(*events, missed, *end)
+    not_counted = replace(counted, line=counted.line.replace("written=1", "written=0"))
+    assert Rule.COUNTERS not in _broken_rules(*events, counted, *exit_events)
+    assert Rule.COUNTERS in _broken_rules(*events, not_counted, *exit_events)
 
 
-def test_node_that_sends_nothing_for_seconds_is_starved() -> None:
+def test_node_without_attempts_for_several_seconds_breaks_rule() -> None:
     requests: list[HistoryEvent] = []
     for i in range(20):
         sent = RequestSent(1.0 + 0.25 * i, 1.0 + 0.25 * i, f"r{i}", "n0", 1, "look", 1.0)
         requests += [sent, ResponseReceived(sent.at + 0.05, sent.request_id, 503, b"", 0.1)]
     attempt = AttemptReceived(3.0, 3.0, "s0", 1, ADDRESS, "r8", 0.5)
-    assert Rule.STARVED in _broken(*requests)
-    assert Rule.STARVED not in _broken(*requests, attempt)
+    assert Rule.STARVED in _broken_rules(*requests)
+    assert Rule.STARVED not in _broken_rules(*requests, attempt)
--- a/tests/fault_soak/test_plan.py
+++ b/tests/fault_soak/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans are drawn from their seeds alone, and consecutive seeds cover every pair of kinds of faults."""
+"""Tests that plans depend on their seeds alone, and that consecutive seeds cover all pairs of kinds."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 
 
 def test_consecutive_seeds_force_every_pair_of_kinds_to_overlap() -> None:
-    met: set[frozenset[FaultKind]] = set()
+    overlapping_pairs: set[frozenset[FaultKind]] = set()
     for seed in range(len(ALL_PAIRS)):
         faults = draw_plan(seed).faults
-        met |= {frozenset((a.kind, b.kind)) for a in faults for b in faults if a is not b and a.overlaps(b)}
-    cold = sum(1 for seed in range(len(ALL_PAIRS)) if draw_plan(seed).cold_start)
-    assert len(met) > len(ALL_PAIRS) - cold
-    assert len(met) >= 0.95 * len(ALL_PAIRS)
+        overlapping_pairs |= {
+            frozenset((a.kind, b.kind)) for a in faults for b in faults if a is not b and a.overlaps(b)
+        }
+    cold_starts = sum(1 for seed in range(len(ALL_PAIRS)) if draw_plan(seed).cold_start)
+    assert len(overlapping_pairs) > len(ALL_PAIRS) - cold_starts
+    assert len(overlapping_pairs) >= 0.95 * len(ALL_PAIRS)
 
 
 def test_faults_end_within_the_scenario() -> None:
--- a/tests/fault_soak/test_serialization.py
+++ b/tests/fault_soak/test_serialization.py
@@ -1,4 +1,4 @@
-"""The JSON forms keep their documented names, and reports are read as they were written."""
+"""Tests that JSON objects have the documented names, and that reports are read as they were written."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 
 
-def test_report_is_read_as_it_was_written() -> None:
+def test_report_is_unchanged_by_writing_and_reading() -> None:
     report = Report(7, 12, "200:12", 3, True, ("node-kill n0 fired=1",), ("a+b",), ("lost: r: late",))
     assert report_from_json(json.loads(json.dumps(report_to_json(report)))) == report
 
@@ -41,7 +41,7 @@
     }
 
 
-def test_only_class_with_keys_has_a_group_and_a_window() -> None:
+def test_only_keyed_class_has_group_and_window() -> None:
     profiles = settings_to_json(draw_plan(1).settings)["profiles"]
     assert isinstance(profiles, list)
     assert [profile["name"] for profile in profiles if "group" in profile and "windowMs" in profile] == [
--- a/tests/fault_soak/test_shim.py
+++ b/tests/fault_soak/test_shim.py
@@ -1,4 +1,4 @@
-"""Every failure of the shim happens in a real process when it is set, and is counted."""
+"""Tests that the shim causes and counts each failure in a real process, and no other failure."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("failure", list(Failure), ids=lambda failure: failure.name)
-def test_failure_fires_and_is_counted(failure: Failure, tmp_path: Path) -> None:
+def test_failure_is_caused_and_counted(failure: Failure, tmp_path: Path) -> None:
     library = build_shim(tmp_path)
     if library is None:
         pytest.skip("no C compiler")
--- a/tests/fault_soak/test_short_play.py
+++ b/tests/fault_soak/test_short_play.py
@@ -1,4 +1,4 @@
-"""A short run of the fault test: fixed seeds, real nodes, every rule of the oracle."""
+"""A short run of the fault test with fixed seeds, real nodes and all rules of the oracle."""
 
 from __future__ import annotations
 
