--- a/fault_soak/discovery.py
+++ b/fault_soak/discovery.py
@@ -20,10 +20,10 @@
 HEARTBEAT_S = 2.0
 
 SILENT_WATCH_NOTIFIED_S = 6.0
-"""The time in seconds after which a node counts as notified of a change that its watch did not deliver."""
+"""The time in seconds until a node that polls or has a silenced watch counts as notified of a change."""
 
 MOVED_NOTIFIED_S = 4.0
-"""The time in seconds after a move of the agent's address before which no change counts as notified."""
+"""The time in seconds after a move of the agent to a new address before any change counts as notified."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/fault_soak/drawing.py
+++ b/fault_soak/drawing.py
@@ -1,4 +1,4 @@
-"""The random drawing of the plan of a scenario from a seed.
+"""Functions that draw the plan of a scenario at random from a seed.
 
 A seed always gives the same plan. A change to the order of the random draws changes the plans of all seeds.
 """
--- a/fault_soak/injection/injector.py
+++ b/fault_soak/injection/injector.py
@@ -1,4 +1,4 @@
-"""The dispatch of each fault to the injector of its kind, and the recording of its beginning and end."""
+"""The injector of each kind of fault, and a function that injects a fault and records it in the history."""
 
 from __future__ import annotations
 
--- a/fault_soak/injection/nodes.py
+++ b/fault_soak/injection/nodes.py
@@ -12,10 +12,10 @@
 from fault_soak.servers import Misbehaviour, StubServer
 
 KILL_GRACE_S = 0.7
-"""The time in seconds from the longest deadline after SIGTERM until SIGKILL."""
+"""The time in seconds that is added to the longest deadline to get the time from SIGTERM to SIGKILL."""
 
 MAX_KILL_DEADLINE_S = 3.0
-"""The longest deadline in seconds that delays SIGKILL after SIGTERM."""
+"""The upper limit in seconds of the deadline that determines the time from SIGTERM to SIGKILL."""
 
 NEW_CONNECTIONS_AFTER_TERM_S = (0.2, 0.4)
 """The minimum and maximum time in seconds after SIGTERM during which clients open new connections."""
--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -31,7 +31,8 @@
 
     Attributes:
         name: the name of the guard, as the option ``--guard`` selects it.
-        rules: the rules that may be violated if the guard is broken; a violation of one of them detects it.
+        rules: the rules that may be violated if the guard is broken; the fault test detects the broken guard
+            if it finds a violation of one of these rules.
         edits: the replacements of source text that break the guard.
         kinds: the kinds of faults under which the guard has an effect.
     """
@@ -63,7 +64,8 @@
 )
 """The edits that disable the node's last check, which backs up several guards.
 
-A mutation of one of these guards must disable the last check as well, because it would hide the broken guard.
+A mutation of one of these guards must disable the last check as well, because the last check would hide the
+broken guard.
 """
 
 MUTATIONS = (
--- a/fault_soak/oracle/answers.py
+++ b/fault_soak/oracle/answers.py
@@ -24,10 +24,10 @@
 """The time in seconds after SIGTERM during which requests may still arrive at a node."""
 
 BURST_BEFORE_S = 0.1
-"""The time in seconds before the recorded start of a connection burst at which it may affect requests."""
+"""The time in seconds before the recorded start of a connection burst in which it may use up descriptors."""
 
 BURST_AFTER_S = 1.0
-"""The time in seconds after the end of a connection burst during which descriptors may remain exhausted."""
+"""The time in seconds after the end of a connection burst in which descriptors may remain exhausted."""
 
 
 def check_response_times(view: HistoryView) -> Iterator[Violation]:
--- a/fault_soak/oracle/nodes.py
+++ b/fault_soak/oracle/nodes.py
@@ -27,7 +27,7 @@
 
 
 def check_starvation(view: HistoryView) -> Iterator[Violation]:
-    """Check that no node sends no attempts for several seconds while servers are available."""
+    """Check that no node stops sending attempts for several seconds while servers are available."""
     answered = {response.request_id for response in view.events_of(ResponseReceived)}
     requests: dict[str, list[RequestSent]] = defaultdict(list)
     for sent in view.events_of(RequestSent):
--- a/fault_soak/oracle/servers.py
+++ b/fault_soak/oracle/servers.py
@@ -15,7 +15,7 @@
 """The mean of the random service times of a stub server, as a multiple of the planned service time."""
 
 LARGE_BOUND = 30
-"""The bound from which on the number of attempts in a window is about normally distributed around it."""
+"""The smallest bound around which the number of attempts in a window is about normally distributed."""
 
 
 @dataclass(slots=True)
--- a/fault_soak/oracle/view.py
+++ b/fault_soak/oracle/view.py
@@ -65,12 +65,12 @@
         plan: the plan of the scenario.
         settings: the settings of its nodes.
         lag_s: the possible error of the recorded times in seconds, at most ``MAX_LAG_ALLOWANCE_S``.
-        requests: the last time that a client sent each request, by request id.
+        requests: the latest ``RequestSent`` event of each request, by request id.
         attempts: the attempts of each request in the order of their arrival, by request id; requests without
             attempts are absent.
-        starts: the start of each node process.
-        exits: the exit of each node process that has ended.
-        ready: the event at which each node process became ready; processes that never did are absent.
+        starts: the ``NodeStarted`` event of each node process.
+        exits: the ``NodeExited`` event of each node process that has ended.
+        ready: the ``NodeReady`` event of each node process that has become ready.
     """
 
     def __init__(self, result: ScenarioResult) -> None:
--- a/fault_soak/proof.py
+++ b/fault_soak/proof.py
@@ -1,4 +1,4 @@
-"""Proof that the fault test detects broken guards of the node."""
+"""Functions that prove that the fault test detects broken guards of the node."""
 
 from __future__ import annotations
 
--- a/fault_soak/scenario.py
+++ b/fault_soak/scenario.py
@@ -1,4 +1,4 @@
-"""Runs of the scenario of a plan with real nodes."""
+"""Functions that run the scenario of a plan with real nodes and record its history."""
 
 from __future__ import annotations
 
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -24,7 +24,7 @@
 from fault_soak.proxy import HOST, FaultProxy, LinkState, reset
 
 QUEUE_PER_SLOT = 8
-"""The number of requests per slot, both queued and being served, above which a server rejects requests."""
+"""The number of queued and running requests per slot at which a server rejects further requests."""
 
 NOT_EXECUTED = "X-Not-Run: 1\r\n"
 """The header line with which a server declares that it did not execute a request."""
--- a/fault_soak/shim.py
+++ b/fault_soak/shim.py
@@ -1,4 +1,4 @@
-"""The shim, a preloaded library that makes system calls of nodes fail: its build and its control."""
+"""The build and the control of the shim, a preloaded library that makes system calls of nodes fail."""
 
 from __future__ import annotations
 
--- a/fault_soak/subprocesses.py
+++ b/fault_soak/subprocesses.py
@@ -1,4 +1,4 @@
-"""Runs of one scenario in a separate process."""
+"""Functions that run a scenario in a separate process."""
 
 from __future__ import annotations
 
