--- a/fault_soak/clients/faulty.py
+++ b/fault_soak/clients/faulty.py
@@ -12,11 +12,11 @@
 from fault_soak.clients.connections import ClientConnection, connect
 from fault_soak.clients.exchange import GIVE_UP_AFTER_S, RequestExchange
 from fault_soak.clients.requests import ClientRequest, RequestFactory
-from fault_soak.history import History, IncompleteRequestReleased, IncompleteRequestStopped
+from fault_soak.history import History, IncompleteRequestEnded, IncompleteRequestStopped
 from fault_soak.http import read_message
 from fault_soak.nodes import NodeProcess
 
-STOPPED_FOR_S = 4.5
+MAX_WAIT_S = 4.5
 """The time in seconds for which a faulty client waits for a response or the close of its connection."""
 
 INCOMPLETE_DEADLINE_S = 1.0
@@ -57,9 +57,9 @@
         client = next(self._client_numbers)
         self._history.add(IncompleteRequestStopped(History.now(), client, node.name, connection.incarnation))
         with contextlib.suppress(TimeoutError, ConnectionError):
-            async with asyncio.timeout(STOPPED_FOR_S):
+            async with asyncio.timeout(MAX_WAIT_S):
                 await connection.reader.read(1)
-            self._history.add(IncompleteRequestReleased(History.now(), client))
+            self._history.add(IncompleteRequestEnded(History.now(), client))
         connection.abort()
 
     async def pipeline(self, node: NodeProcess, count: int) -> None:
@@ -98,7 +98,7 @@
         garbage = self._rng.choice(GARBAGE)
         with contextlib.suppress(ConnectionError, TimeoutError):
             connection.writer.write(garbage)
-            async with asyncio.timeout(STOPPED_FOR_S):
+            async with asyncio.timeout(MAX_WAIT_S):
                 await connection.reader.read(100)
         connection.abort()
 
--- a/fault_soak/drawing.py
+++ b/fault_soak/drawing.py
@@ -91,11 +91,11 @@
         The additional faults often begin near the beginning or end of another fault.
         """
         rng = self.rng
-        usable = sorted(self.kinds, key=lambda kind: kind.value)
+        sorted_kinds = sorted(self.kinds, key=lambda kind: kind.value)
         faults = self._forced_pair(seed)
         for _ in range(rng.randint(*ADDITIONAL_FAULTS)):
             anchor = rng.choice(faults)
-            kind = rng.choice(usable)
+            kind = rng.choice(sorted_kinds)
             faults.append(self._fault(kind, self._begin_near(anchor)))
         return tuple(sorted(faults, key=lambda fault: fault.begin_s))
 
--- a/fault_soak/history.py
+++ b/fault_soak/history.py
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class IncompleteRequestReleased(HistoryEvent):
+class IncompleteRequestEnded(HistoryEvent):
     """A faulty client that had stopped within a request received an error response or was disconnected."""
 
     client: int
--- a/fault_soak/oracle/answers.py
+++ b/fault_soak/oracle/answers.py
@@ -42,10 +42,10 @@
             )
     for missing in view.events_of(ResponseMissing):
         if missing.request_id not in answered and not _is_excused(view, missing):
-            yield _missing_answer(view, missing)
+            yield _missing_response_violation(view, missing)
 
 
-def _missing_answer(view: HistoryView, missing: ResponseMissing) -> Violation:
+def _missing_response_violation(view: HistoryView, missing: ResponseMissing) -> Violation:
     sent = view.requests[missing.request_id]
     how = "the connection was closed" if missing.closed else "no response was received"
     detail = f"{how} after {missing.at - sent.at:.3f} s, deadline {sent.deadline_s:.3f} s"
@@ -56,7 +56,7 @@
 
 def _is_excused(view: HistoryView, missing: ResponseMissing) -> bool:
     sent = view.requests[missing.request_id]
-    may_be_unread = missing.unread_allowed or _descriptors_used_up(view, sent)
+    may_be_unread = missing.unread_allowed or _descriptors_exhausted(view, sent)
     if may_be_unread and not view.attempts_of(missing.request_id):
         return True
     return _was_killed(view, sent) or (missing.closed and _connection_failed(view, sent, missing.at))
@@ -77,7 +77,7 @@
     )
 
 
-def _descriptors_used_up(view: HistoryView, sent: RequestSent) -> bool:
+def _descriptors_exhausted(view: HistoryView, sent: RequestSent) -> bool:
     """Check whether idle connections can have exhausted the node's descriptors.
 
     The node may then close a new connection without reading the request.
@@ -97,11 +97,11 @@
     ``TERM_ARRIVAL_S`` after a preceding SIGTERM is not excused.
     """
     incarnation = incarnation_of(sent)
-    kills = view.signal_times(incarnation, signal.SIGKILL)
-    if not kills or kills[0] > sent.at + sent.deadline_s + LATE_ALLOWANCE_S:
+    kill_times = view.signal_times(incarnation, signal.SIGKILL)
+    if not kill_times or kill_times[0] > sent.at + sent.deadline_s + LATE_ALLOWANCE_S:
         return False
-    terms = view.signal_times(incarnation, signal.SIGTERM)
-    return not terms or sent.at <= terms[0] + TERM_ARRIVAL_S
+    term_times = view.signal_times(incarnation, signal.SIGTERM)
+    return not term_times or sent.at <= term_times[0] + TERM_ARRIVAL_S
 
 
 def check_rejections(view: HistoryView) -> Iterator[Violation]:
--- a/fault_soak/oracle/clients.py
+++ b/fault_soak/oracle/clients.py
@@ -4,23 +4,23 @@
 
 from collections.abc import Iterator
 
-from fault_soak.history import IncompleteRequestReleased, IncompleteRequestStopped
+from fault_soak.history import IncompleteRequestEnded, IncompleteRequestStopped
 from fault_soak.oracle.tolerances import SOCKET_SLACK_S
 from fault_soak.oracle.view import HistoryView
 from fault_soak.oracle.violations import Rule, Violation
 
-RELEASED_WITHIN_S = 3.0
+ENDED_WITHIN_S = 3.0
 """The time in seconds within which a node must respond to or disconnect a client that stops mid-request."""
 
 
 def check_incomplete_requests(view: HistoryView) -> Iterator[Violation]:
     """Check that a client that stops within a request gets an error response or is disconnected in time."""
-    released = {event.client: event.at for event in view.events_of(IncompleteRequestReleased)}
+    ended = {event.client: event.at for event in view.events_of(IncompleteRequestEnded)}
     for stopped in view.events_of(IncompleteRequestStopped):
         subject = f"{stopped.node} client {stopped.client}"
-        released_at = released.get(stopped.client)
-        if released_at is None:
+        ended_at = ended.get(stopped.client)
+        if ended_at is None:
             yield Violation(Rule.BAD_CLIENT, subject, "received no error response and was not disconnected")
-        elif released_at - stopped.at > RELEASED_WITHIN_S + SOCKET_SLACK_S + view.lag_s:
-            detail = f"received an error response or was disconnected after {released_at - stopped.at:.2f} s"
+        elif ended_at - stopped.at > ENDED_WITHIN_S + SOCKET_SLACK_S + view.lag_s:
+            detail = f"received an error response or was disconnected after {ended_at - stopped.at:.2f} s"
             yield Violation(Rule.BAD_CLIENT, subject, detail)
--- a/fault_soak/oracle/logs.py
+++ b/fault_soak/oracle/logs.py
@@ -31,18 +31,18 @@
 
 def check_ejections(view: HistoryView) -> Iterator[Violation]:
     """Check that no node ejects a server because connects failed on the node's own machine."""
-    local = view.fault_spans(FaultKind.SYSCALL_CONNECT, FaultKind.SYSCALL_SOCKET)
-    remote = view.fault_spans(*SERVER_KINDS)
+    local_faults = view.fault_spans(FaultKind.SYSCALL_CONNECT, FaultKind.SYSCALL_SOCKET)
+    remote_faults = view.fault_spans(*SERVER_KINDS)
     for logged in view.events_of(NodeLogged):
         if CONNECT_EJECTION_PATTERN.search(logged.line) is None:
             continue
-        during_local = any(
+        during_local_fault = any(
             span.begin <= logged.at <= span.end + LOCAL_FAULT_EFFECT_S
-            for span in local
+            for span in local_faults
             if span.target == logged.node
         )
-        excused = any(span.begin <= logged.at <= span.end + SERVER_FAULT_EFFECT_S for span in remote)
-        if during_local and not excused:
+        excused = any(span.begin <= logged.at <= span.end + SERVER_FAULT_EFFECT_S for span in remote_faults)
+        if during_local_fault and not excused:
             yield Violation(Rule.LOCAL_FAILURE_ATTRIBUTED, str(incarnation_of(logged)), logged.line)
 
 
--- a/fault_soak/oracle/nodes.py
+++ b/fault_soak/oracle/nodes.py
@@ -34,12 +34,14 @@
         if sent.request_id in answered:
             requests[sent.node].append(sent)
     for node, sequence in requests.items():
-        for unsent in _runs_without_attempt(view, sequence):
-            begin, end = unsent[0].at, unsent[-1].at
-            is_starved = len(unsent) >= STARVED_REQUESTS and end - begin >= STARVED_S
+        for unattempted in _runs_without_attempt(view, sequence):
+            begin, end = unattempted[0].at, unattempted[-1].at
+            is_starved = len(unattempted) >= STARVED_REQUESTS and end - begin >= STARVED_S
             if is_starved and not _server_fault_overlaps(view, begin, end):
                 yield Violation(
-                    Rule.STARVED, node, f"{len(unsent)} requests without an attempt in {end - begin:.1f} s"
+                    Rule.STARVED,
+                    node,
+                    f"{len(unattempted)} requests without an attempt in {end - begin:.1f} s",
                 )
 
 
@@ -77,12 +79,12 @@
 def _check_exit(
     view: HistoryView, incarnation: IncarnationId, start: NodeStarted, exited: NodeExited
 ) -> Iterator[Violation]:
-    terms = view.signal_times(incarnation, signal.SIGTERM)
-    kills = view.signal_times(incarnation, signal.SIGKILL)
-    if not terms and not kills:
+    term_times = view.signal_times(incarnation, signal.SIGTERM)
+    kill_times = view.signal_times(incarnation, signal.SIGKILL)
+    if not term_times and not kill_times:
         detail = f"exit code {exited.code}, {exited.at - start.at:.3f} s after its start"
         yield Violation(Rule.CRASH, str(incarnation), detail)
-    exited_after_term = terms and (not kills or exited.at < kills[0])
+    exited_after_term = term_times and (not kill_times or exited.at < kill_times[0])
     if exited_after_term and exited.code != 0 and incarnation in view.ready:
         yield Violation(Rule.EXIT_CODE, str(incarnation), f"exit code {exited.code}")
 
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -251,7 +251,7 @@
         if not await self._work_unless_closed(reader):
             attempt.end(AttemptResult.ABANDONED)
             return False
-        return self._answer(attempt, writer)
+        return self._write_response(attempt, writer)
 
     async def _work_unless_closed(self, reader: asyncio.StreamReader) -> bool:
         """Spend the service time of a request; return False if the connection was closed before the end."""
@@ -276,7 +276,7 @@
         finally:
             self._waiting -= 1
 
-    def _answer(self, attempt: ServedAttempt, writer: asyncio.StreamWriter) -> bool:
+    def _write_response(self, attempt: ServedAttempt, writer: asyncio.StreamWriter) -> bool:
         body = served_body(self.name, attempt.request_id)
         if self.misbehaviour is Misbehaviour.ERRORS and self._rng.random() < ERROR_PROBABILITY:
             self.fired += 1
