--- a/fault_soak/injection/injector.py
+++ b/fault_soak/injection/injector.py
@@ -1,4 +1,4 @@
-"""Dispatches each fault of a schedule to its injector and records its beginning and end."""
+"""The injector of each kind of fault, and a function that injects a fault and records it in the history."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TypeAlias
 
-from fault_soak.faults import AIMED_CLIENT_KINDS, NODE_KINDS, SERVER_KINDS, Fault, FaultKind
+from fault_soak.faults import NODE_KINDS, SERVER_KINDS, SINGLE_NODE_CLIENT_KINDS, Fault, FaultKind
 from fault_soak.history import FaultBegan, FaultEnded, History
 from fault_soak.injection import clients, discovery, links, nodes, reloads, servers, system_calls
 from fault_soak.injection.environment import Environment
@@ -28,7 +28,7 @@
     FaultKind.DISCOVERY_DOWN: discovery.take_down,
     FaultKind.WATCH_SILENT: discovery.silence_watches,
     FaultKind.WATCH_RESET: discovery.reset_watches,
-    FaultKind.LIST_PIECES: discovery.send_lists_in_pieces,
+    FaultKind.LIST_PIECES: discovery.split_lists,
     FaultKind.SERVER_DRAIN: servers.drain,
     FaultKind.SERVER_CRASH: servers.crash,
     FaultKind.SERVER_HANG: partial(servers.misbehave, Misbehaviour.HANG),
@@ -60,7 +60,7 @@
 
 
 async def inject(environment: Environment, index: int, fault: Fault) -> None:
-    """Carry out one fault of the schedule; several may run concurrently."""
+    """Inject one fault of the schedule and record its beginning and end; faults may run concurrently."""
     kind, target = fault.kind.value, _target_name(environment, fault)
     environment.history.add(FaultBegan(History.now(), index, kind, target))
     fired = await INJECTORS[fault.kind](environment, fault)
@@ -68,7 +68,7 @@
 
 
 def _target_name(environment: Environment, fault: Fault) -> str:
-    if fault.kind in NODE_KINDS or fault.kind in AIMED_CLIENT_KINDS:
+    if fault.kind in NODE_KINDS or fault.kind in SINGLE_NODE_CLIENT_KINDS:
         return environment.node_of(fault).name
     if fault.kind in SERVER_KINDS:
         return environment.server_of(fault).name
