--- a/load_balancer/proxy/http/__init__.py
+++ b/load_balancer/proxy/http/__init__.py
@@ -1,1 +1,4 @@
-"""HTTP/1.1: reading and rendering of messages; header names.  Imports nothing else of the proxy."""
+"""HTTP/1.1: reading messages, rendering messages, and the names of headers.
+
+The modules of this package import no other package of the proxy.
+"""
--- a/load_balancer/proxy/http/headers.py
+++ b/load_balancer/proxy/http/headers.py
@@ -1,4 +1,4 @@
-"""Names of the HTTP headers that the node reads, in lower case as ``HttpMessage.headers`` holds them."""
+"""Names of the HTTP headers that the node reads, in lower case like the keys of ``HttpMessage.headers``."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/http/reader.py
+++ b/load_balancer/proxy/http/reader.py
@@ -1,7 +1,7 @@
-"""Reads bytes into complete HTTP/1.1 messages of bounded size, requests or responses.
+"""Read HTTP/1.1 requests or responses of bounded size from a stream of bytes.
 
-httptools parses; this module adds the size limits and collects the parts of a message until it is complete.
-``load_balancer.proxy.http.rendering`` writes messages.
+httptools parses the bytes.  This module adds size limits and collects the parts of each message until the
+message is complete.  ``load_balancer.proxy.http.rendering`` renders messages.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-# Request ids and idempotency keys are forwarded unchanged, so only visible ASCII characters are accepted.
-TOKEN = re.compile(rb"[!-~]{1,256}")
+# Matches a valid request id or idempotency key.  The node forwards both unchanged, so it accepts only visible
+# ASCII characters in them.
+TOKEN_PATTERN = re.compile(rb"[!-~]{1,256}")
 
 _HEAD_TOO_LARGE = "the head is too large"
 _BODY_TOO_LARGE = "the body is too large"
@@ -28,8 +29,8 @@
     """The message is malformed, exceeds a limit or uses an unsupported feature.
 
     Attributes:
-        status: the status code of the response, where the message is a request.
-        problem: the error, for log lines.
+        status: the status code to answer with, if the message is a request.
+        problem: a description of the error for log lines.
     """
 
     def __init__(self, status: int, problem: str) -> None:
@@ -46,9 +47,9 @@
         target: the request target, unchanged; empty for a response.
         method: the method of a request; empty for a response.
         status: the status code of a response; 0 for a request.
-        headers: values by lower-case name; of a duplicate header the last value.
-        duplicate_headers: names of the headers that occur more than once.
-        body: the content, without the framing of chunks.
+        headers: the values of the headers by lower-case name.  For a duplicate header this is the last value.
+        duplicate_headers: the lower-case names of the headers that occur more than once.
+        body: the body, without the chunk sizes and chunk delimiters of a chunked message.
         keep_alive: whether the connection may carry another message.
     """
 
@@ -62,15 +63,18 @@
 
 
 class MessageHandler(Protocol):
-    """Called with each complete message, while the piece of input that completed it is being parsed."""
+    """A callback that receives each complete message.
+
+    The reader calls it while it is still parsing the piece of input in which the message ended.
+    """
 
     def __call__(self, message: HttpMessage, /) -> None:
-        """Handle the message."""
+        """Handle a complete message."""
         ...
 
 
 class ReaderState(Enum):
-    """Which part of a message the reader expects.
+    """The part of a message that the reader expects next.
 
     ======================  ======================  ===================================================
     from                    to                      when
@@ -78,34 +82,36 @@
     HEAD                    BODY                    the head is complete
     HEAD                    BODY_UNTIL_CLOSE        the head of a response without a length is complete
     BODY                    HEAD                    the message is complete
-    BODY_UNTIL_CLOSE        HEAD                    its sender has closed in order
+    BODY_UNTIL_CLOSE        HEAD                    the sender has closed without a reset
     ======================  ======================  ===================================================
 
-    Apart from the state, an error ends the reading, and the owner may stop the reader between messages.
+    Two conditions are not part of the state: an error, after which the reader cannot be used any more, and a
+    stop by the owner of the reader, which takes effect between messages.
     """
 
     HEAD = auto()
-    """The head of a message, which may not have begun."""
+    """The reader expects the head of a message, or the rest of a head that has begun."""
     BODY = auto()
-    """The body and trailers of a message, which may be empty."""
+    """The reader expects the body and the trailers of a message.  Both may be empty."""
     BODY_UNTIL_CLOSE = auto()
-    """The body of a response that lasts until its sender closes the connection."""
+    """The reader expects the body of a response that ends when the sender closes the connection."""
 
 
-# Python 3.11 looks up a member of an enum slowly, and these are used for each header.
+# Aliases of the enum members.  Looking up a member on its enum is slow in Python 3.11, and the reader needs a
+# member for each header.
 _HEAD = ReaderState.HEAD
 _BODY = ReaderState.BODY
 _BODY_UNTIL_CLOSE = ReaderState.BODY_UNTIL_CLOSE
 
 
 class _StopParsing(Exception):  # noqa: N818 - a signal, not an error
-    """Makes the parser stop within a piece of input; raised in its callbacks."""
+    """Stops the parser within a piece of input.  The callbacks of the parser raise this exception."""
 
 
 class HttpReader:
-    """Feeds bytes to httptools and hands on complete messages, within the size limits.  See ReaderState.
+    """Parses input with httptools and passes each complete message to a callback.
 
-    The reader enforces the limits because the parser itself has none.
+    The reader enforces the size limits because httptools has none.  ``ReaderState`` describes the states.
     """
 
     __slots__ = (
@@ -127,12 +133,13 @@
         self._parser: httptools.HttpRequestParser | httptools.HttpResponseParser
         self._parser = httptools.HttpRequestParser(self) if requests else httptools.HttpResponseParser(self)
         self._state = _HEAD
-        self._failure: HttpMessageError | None = None  # the error that ended the reading
-        # A head is bounded twice: by the input until it is complete, so that an incomplete one cannot grow
-        # without end, and by its own size, as it may be complete within one large piece of input.
+        self._failure: HttpMessageError | None = None  # the error after which nothing more is read
+        # Two limits apply to a head.  The first limits the input that is read before the head is complete, so
+        # that an incomplete head cannot grow without bound.  The second limits the size of the head itself,
+        # because one large piece of input may contain a complete head that is too large.
         self._head_input_left = MAX_HEAD_BYTES
         self._head_size = 0
-        self._message: HttpMessage | None = None  # the message being read, from its first byte on
+        self._message: HttpMessage | None = None  # the message being read; None between messages
         self._body_parts: list[bytes] = []  # empty between messages
         self._body_size = 0
         self._stopped = False
@@ -140,19 +147,19 @@
 
     @property
     def in_message(self) -> bool:
-        """Whether a message has begun and is not complete yet."""
+        """Whether the first byte of a message has been read and the message is not complete yet."""
         return self._message is not None
 
     @property
     def surplus(self) -> bool:
-        """Whether input followed the message after which the reader was stopped."""
+        """Whether more input followed the message after which the reader was stopped."""
         return self._surplus
 
     def feed(self, data: bytes) -> None:
-        """Read a piece of input.
+        """Parse a piece of input, and pass each message that it completes to the callback.
 
         Raises:
-            HttpMessageError: the input is malformed or exceeds a limit; the reader is of no further use.
+            HttpMessageError: the input is malformed or exceeds a limit.  The reader cannot be used any more.
         """
         if self._state is _HEAD:
             self._head_input_left -= len(data)
@@ -170,43 +177,43 @@
             raise HttpMessageError(400, _HEAD_TOO_LARGE)
 
     def stop(self) -> None:
-        """Read no further message, not even one in the piece of input that is being parsed."""
+        """Read no further message, not even one that follows in the piece of input that is being parsed."""
         self._stopped = True
 
     def resume(self) -> None:
-        """Read messages again; only after a stop without surplus."""
+        """Read messages again after a stop.  Allowed only if ``surplus`` is false."""
         self._stopped = False
 
-    # Callbacks of httptools.
+    # Callbacks that httptools calls.
 
     def on_message_begin(self) -> None:
-        """The first byte of a message was read."""
+        """Handle the first byte of a message."""
         if self._stopped:
             raise _StopParsing
         self._message = HttpMessage()
         self._body_size = 0
 
     def on_url(self, part: bytes) -> None:
-        """A part of the request target was read."""
+        """Handle a part of the request target."""
         if self._message is not None:
             self._message.target += part
             self._count_head_bytes(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A complete header or trailer was read."""
+        """Handle a complete header or trailer."""
         message = self._message
         if message is None:
             return
         self._count_head_bytes(len(name) + len(value))
         if self._state is not _HEAD:
-            return  # a trailer; only the head decides how a message is handled
+            return  # Ignore a trailer: only the head decides how a message is handled.
         name = name.lower()
         if name in message.headers:
             message.duplicate_headers.add(name)
         message.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Handle the end of the head."""
         message = self._message
         if message is None:
             return
@@ -221,14 +228,14 @@
             message.status = parser.get_status_code()
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body was read."""
+        """Handle a part of the body."""
         self._body_size += len(part)
         if self._body_size > MAX_BODY_BYTES:
             self._fail(413, _BODY_TOO_LARGE)
         self._body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """The last byte of a message was read."""
+        """Handle the end of a message."""
         if self._failure is None:
             self._complete(keep_alive=self._parser.should_keep_alive())
 
@@ -241,21 +248,22 @@
         self._body_parts.clear()
         message.keep_alive = keep_alive
         if _is_interim(message.status):
-            return  # its size counts towards the head of the final response
+            return  # The size of an interim response counts towards the head limit of the final response.
         self._head_input_left, self._head_size = MAX_HEAD_BYTES, 0
         self._on_message(message)
 
     def end_of_input(self) -> None:
-        """The peer has closed its side in order, which completes a response without a length."""
+        """Handle a close by the peer without a reset, which completes a response without a length."""
         if self._state is _BODY_UNTIL_CLOSE and self._failure is None:
             self._complete(keep_alive=False)
 
     def _check_framing(self, message: HttpMessage) -> None:
-        """Check that the length is given by Content-Length, by chunks, or for a response by the close.
+        """Determine how the body of a message ends, and reject an unsupported framing or a too large body.
 
-        The parser itself rejects a message with both headers, and lengths that are not numbers.  A response
-        without a length lasts until its sender closes the connection (RFC 9112, section 6.3); a reset is no
-        such close.
+        The end of a body is given by Content-Length, by chunked encoding, or, for a response only, by the
+        close of the connection.  httptools itself rejects a message with both headers and a Content-Length
+        that is not a number.  A response without either header ends when the sender closes the connection
+        (RFC 9112, section 6.3).  A connection reset does not count as this close.
         """
         length = message.headers.get(CONTENT_LENGTH)
         coding = message.headers.get(TRANSFER_ENCODING)
@@ -271,23 +279,26 @@
             self._state = _BODY_UNTIL_CLOSE
 
     def _count_head_bytes(self, size: int) -> None:
-        """Bound a head that is complete within one piece of input, before its message is handed on."""
+        """Add to the size of the current head, and fail if it exceeds the limit.
+
+        This also rejects a head that is complete within one piece of input, before its message is passed on.
+        """
         self._head_size += size
         if self._head_size > MAX_HEAD_BYTES:
             self._fail(400, _HEAD_TOO_LARGE)
 
     def _fail(self, status: int, problem: str) -> NoReturn:
-        """End the reading with an error, which feed raises."""
+        """Stop parsing because of an error.  ``feed`` raises the error to its caller."""
         self._failure = HttpMessageError(status, problem)
         self._body_parts.clear()
         raise _StopParsing
 
 
 def _has_no_body(status: int) -> bool:
-    """Whether a response with this status ends with its head."""
+    """Return whether a response with this status code ends after its head."""
     return _is_interim(status) or status in (204, 304)
 
 
 def _is_interim(status: int) -> bool:
-    """Whether a response with this status announces the final one."""
+    """Return whether a response with this status code is an interim response, before the final one."""
     return 100 <= status < 200
--- a/load_balancer/proxy/http/rendering.py
+++ b/load_balancer/proxy/http/rendering.py
@@ -1,4 +1,4 @@
-"""Renders HTTP/1.1 responses to clients and the heads of requests to endpoints."""
+"""Render HTTP/1.1 responses to clients and the heads of requests to endpoints."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def render_response(status: int, body: bytes = b"", extra: bytes = b"", *, close: bool = False) -> bytes:
-    """A complete response to a client.
+    """Return a complete response to a client.
 
     Args:
-        status: a status code of _REASON_PHRASES.
-        body: the content.
-        extra: complete header lines, each with its line end.
-        close: whether the connection closes after this response.
+        status: the status code, which must be in ``_REASON_PHRASES``.
+        body: the body.
+        extra: further header lines, each ending with CRLF.
+        close: whether the node closes the connection after this response.
     """
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n%s" % (
         status,
@@ -38,9 +38,13 @@
 
 
 def render_request_head(message: HttpMessage, host: bytes) -> bytes:
-    """The part of the head that all attempts of a request share: all but the deadline and the empty line.
+    """Return the part of the request head that all attempts to send a request to an endpoint have in common.
 
-    The sender of an attempt appends these two.
+    The sender of each attempt appends the deadline header and the empty line that ends the head.
+
+    Args:
+        message: the request of the client.
+        host: the value of the Host header.
     """
     lines = [
         b"%s %s HTTP/1.1\r\n" % (message.method, message.target),
--- a/tests/proxy/downstream/test_request_parsing.py
+++ b/tests/proxy/downstream/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""Parsing of request headers; the node itself answers invalid requests."""
+"""Tests of the parsing of request headers, and of the node's responses to invalid requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bad", "status"),
+    ("invalid_request", "status"),
     [
         (b"nonsense\r\n\r\n", 400),
         (request("look", target="/other"), 404),
@@ -44,15 +44,17 @@
     ],
 )
 @async_test
-async def test_invalid_request_is_answered_at_once_and_not_forwarded(bad: bytes, status: int) -> None:
+async def test_invalid_request_is_answered_at_once_and_not_forwarded(
+    invalid_request: bytes, status: int
+) -> None:
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
         client = await environment.connect_client()
-        client.writer.write(bad)
+        client.writer.write(invalid_request)
         assert (await client.read_response()).status == status
-        assert await client.ends_without_output(), "the same could be sent again at full speed"
+        assert await client.ends_without_output(), "the client can repeat invalid requests at full speed"
         assert not endpoint.received
         assert (await (await environment.connect_client()).fetch("look")).status == 200
 
@@ -72,7 +74,7 @@
 
 
 @async_test
-async def test_chunked_body_over_limit_is_rejected_before_its_end() -> None:
+async def test_chunked_body_over_limit_is_rejected_before_it_is_complete() -> None:
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
@@ -89,7 +91,7 @@
 )
 @async_test
 async def test_deadline_may_have_any_number_of_decimals(deadline: str) -> None:
-    """Clients print calculated values with as many decimals as the value needs."""
+    """Check long decimal fractions, because clients print calculated values with all their decimals."""
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
@@ -99,7 +101,7 @@
 
 @pytest.mark.parametrize("hint", ["much", "0", "inf", "250000"])
 @async_test
-async def test_unusable_cost_hint_is_ignored(hint: str) -> None:
+async def test_request_with_any_cost_hint_is_served(hint: str) -> None:
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
--- a/tests/proxy/http/test_reader.py
+++ b/tests/proxy/http/test_reader.py
@@ -1,4 +1,4 @@
-"""Messages read from pieces of input, and the limits on them."""
+"""Tests of reading messages from pieces of input, and of the limits on messages."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("piece_size", [1, 7, 1000])
-def test_requests_are_read_from_any_pieces(piece_size: int) -> None:
+def test_requests_are_read_from_pieces_of_any_size(piece_size: int) -> None:
     stream = 2 * POST
     pieces = [stream[begin : begin + piece_size] for begin in range(0, len(stream), piece_size)]
     first, second = _read_requests(*pieces)
@@ -34,7 +34,7 @@
     assert first.keep_alive and not first.duplicate_headers
 
 
-def test_duplicate_headers_are_marked_and_trailers_ignored() -> None:
+def test_duplicate_headers_are_recorded_and_trailers_ignored() -> None:
     head = b"POST / HTTP/1.1\r\nX-Class: a\r\nx-class: b\r\nTransfer-Encoding: chunked\r\n\r\n"
     (message,) = _read_requests(head + b"4\r\nbody\r\n0\r\nX-Class: c\r\nX-Tenant: t\r\n\r\n")
     assert message.duplicate_headers == {b"x-class"}
@@ -60,7 +60,7 @@
         ((b"GET / HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\r\n",), 400),
     ],
 )
-def test_unacceptable_request_raises_with_status(pieces: tuple[bytes, ...], status: int) -> None:
+def test_invalid_or_too_large_request_raises_error(pieces: tuple[bytes, ...], status: int) -> None:
     with pytest.raises(HttpMessageError) as raised:
         _read_requests(*pieces)
     assert raised.value.status == status
@@ -73,7 +73,7 @@
     assert message.body == body
 
 
-def test_reader_is_in_message_until_it_is_complete() -> None:
+def test_reader_is_in_message_until_message_is_complete() -> None:
     reader = HttpReader(lambda message: None, requests=True)
     assert not reader.in_message
     reader.feed(POST[:-1])
@@ -82,14 +82,14 @@
     assert not reader.in_message
 
 
-def test_stopped_reader_takes_no_further_message() -> None:
+def test_stopped_reader_reads_no_further_message() -> None:
     messages: list[HttpMessage] = []
 
-    def take(message: HttpMessage) -> None:
+    def handle_message(message: HttpMessage) -> None:
         messages.append(message)
         reader.stop()
 
-    reader = HttpReader(take, requests=True)
+    reader = HttpReader(handle_message, requests=True)
     reader.feed(POST)
     assert not reader.surplus
     reader.resume()
--- a/tests/proxy/http/test_rendering.py
+++ b/tests/proxy/http/test_rendering.py
@@ -1,4 +1,4 @@
-"""Rendered responses and request heads."""
+"""Tests of rendering responses and request heads."""
 
 from __future__ import annotations
 
@@ -42,5 +42,5 @@
         ),
     ],
 )
-def test_request_head_has_forwarded_headers_only(message: HttpMessage, expected: bytes) -> None:
+def test_request_head_contains_only_forwarded_headers(message: HttpMessage, expected: bytes) -> None:
     assert render_request_head(message, b"h:1") == expected
