--- a/load_balancer/proxy/downstream/client_transport.py
+++ b/load_balancer/proxy/downstream/client_transport.py
@@ -1,4 +1,7 @@
-"""The transport of a client connection, and what its socket shows ahead of the event loop."""
+"""The transport of a client connection.
+
+It also polls the socket for events that the event loop has not reported yet.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +14,12 @@
 
 
 class ClientTransport:
-    """The transport of one connection; it does nothing before the connection is made and after it is lost.
+    """A wrapper of the asyncio transport of one client connection.
+
+    Before the connection is made and after it is lost, the methods that act on the transport do nothing.
 
     Attributes:
-        is_attached: the connection is made and not lost; it may be closing.
+        is_attached: whether the connection has been made and not lost.  The connection may be closing.
     """
 
     __slots__ = ("_transport", "is_attached")
@@ -24,12 +29,13 @@
         self._transport: asyncio.Transport | None = None
 
     def attach(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is made."""
+        """Use this transport from now on, because the connection has been made."""
         self.is_attached = True
-        self._transport = typing.cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        # The transports of uvloop are not subclasses of asyncio.Transport.
+        self._transport = typing.cast(asyncio.Transport, transport)
 
     def detach(self) -> None:
-        """The connection is lost."""
+        """Stop using the transport, because the connection has been lost."""
         self.is_attached = False
         self._transport = None
 
@@ -37,66 +43,66 @@
 
     @property
     def client_socket(self) -> socket | None:
-        """The connection's socket; None while there is no connection."""
+        """The socket of the connection, or None before the connection is made and after it is lost."""
         return None if self._transport is None else self._transport.get_extra_info("socket")
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is made and neither lost nor closing."""
+        """Whether the connection has been made and is neither lost nor closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     @property
     def is_reading(self) -> bool:
-        """Whether the event loop reads from it."""
+        """Whether the event loop reads from the connection."""
         return self._transport is not None and self._transport.is_reading()
 
     def has_unsent_output(self) -> bool:
-        """Whether something that was written has not been passed to the network yet."""
+        """Return whether the transport still buffers output that the operating system has not taken yet."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def client_has_left(self) -> bool:
-        """Whether the client has closed its side, even if input from before that is still unread."""
+        """Return whether the client has closed its side, even if earlier input is still unread."""
         return self._poll(select.POLLRDHUP)
 
     def has_unread_input(self) -> bool:
-        """Whether input has arrived that the event loop has not read yet."""
+        """Return whether input has arrived that the event loop has not read yet."""
         return self._poll(select.POLLIN)
 
     def _poll(self, event: int) -> bool:
         if self._transport is None or self._transport.is_closing():
-            return False  # the event loop reports the end of these
+            return False  # The event loop reports the end of a lost or closing connection.
         return poll_socket(self._transport.get_extra_info("socket").fileno(), event)
 
     # Reading.
 
     def pause_reading(self) -> None:
-        """Leave what arrives unread."""
+        """Stop reading from the connection; further input stays in the socket buffer."""
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Start reading from the connection again."""
         if self._transport is not None:
             self._transport.resume_reading()
 
     # Writing and closing.
 
     def write(self, data: bytes) -> None:
-        """Send this, or buffer what the network does not take at once."""
+        """Send the data, and buffer the part that the operating system does not take at once."""
         if self._transport is not None:
             self._transport.write(data)
 
     def end_output(self) -> None:
-        """Close the node's side when everything that was written has been sent."""
+        """Close the node's side of the connection once all buffered output has been sent."""
         if self._transport is not None and self._transport.can_write_eof():
             self._transport.write_eof()
 
     def abort(self) -> None:
-        """Close at once; output that has not been sent is dropped."""
+        """Close the connection at once and discard output that has not been sent."""
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Stop reading, and close when everything that was written has been sent."""
+        """Stop reading, and close the connection once all buffered output has been sent."""
         if self._transport is not None:
             self._transport.close()
--- a/load_balancer/proxy/downstream/connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: reads pipelined requests, and writes the one response to each of them in order."""
+"""A client connection, which reads pipelined requests and writes their responses in the same order."""
 
 from __future__ import annotations
 
@@ -26,27 +26,32 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED_REQUESTS = 16  # open requests on one connection; clients usually have one
-PAUSE_READING_AT = 2  # open requests: nothing further is read, and what arrives waits in the network
-# Input that is not acceptable is answered after the requests before it, which have this long.
+# The maximum number of open requests on one connection.  Clients usually have one open request.
+MAX_PIPELINED_REQUESTS = 16
+# With this many open requests the connection is not read.  Further input waits in the socket buffers.
+PAUSE_READING_AT = 2
+# The error response to invalid input follows the responses to the open requests before it.  These requests
+# have this time for their responses.
 OPEN_REQUESTS_TIMEOUT_S = 2.25
-# For the client to read a last response: closing while input is unread resets the connection at once.
+# The time between the last response and the close, in which the client can read the response.  A close with
+# unread input resets the connection at once, so the client might not receive the response.
 LINGER_S = 0.5
+# After this much input has been read and discarded, the connection is not read any more.
 MAX_DISCARDED_BYTES = 256 * 1024
 
 
 class EvictionTable(typing.Protocol):
-    """Keeps the order in which connections are evicted."""
+    """A table that keeps the order in which connections are evicted."""
 
     def update_eviction(self, connection: DownstreamConnection) -> None:
-        """Queue the connection for eviction by its present priority, behind the others."""
+        """Move the connection to the end of the eviction queue of its current priority."""
 
     def refresh_eviction(self, connection: DownstreamConnection) -> None:
-        """Queue the connection anew if its priority has changed; else it keeps its place."""
+        """Requeue the connection if its eviction priority has changed; otherwise keep its position."""
 
 
 class ConnectionOwner(typing.Protocol):
-    """What a connection needs of the server that accepted it."""
+    """The interface of a server that its connections use."""
 
     iterations: LoopIterations
     counters: NodeCounters
@@ -54,54 +59,62 @@
 
     @property
     def table(self) -> EvictionTable:
-        """The connections of the server, which may evict them."""
+        """The table of the open connections of the server, which may evict them."""
 
     @property
     def draining(self) -> bool:
-        """Whether every response closes its connection."""
+        """Whether the server is draining, so that responses close their connections."""
 
     def now(self) -> float:
-        """Monotonic time in seconds."""
+        """Return the monotonic time in seconds."""
 
     def connection_opened(self, connection: DownstreamConnection) -> None:
-        """A connection has been accepted."""
+        """Handle a newly accepted connection."""
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
-        """A connection is gone."""
+        """Handle a connection that has been closed or lost."""
 
     def reading_paused(self, connection: DownstreamConnection) -> None:
-        """The connection is no longer read."""
+        """Handle a pause in reading from the connection."""
 
     def reading_resumed(self, connection: DownstreamConnection) -> None:
-        """The connection is read again."""
+        """Handle the resumption of reading from the connection."""
 
     def route(self, message: HttpMessage, slot: ResponseSlot) -> bool:
-        """Take a request; returns whether it is one for the servers.  HttpMessageError if it is invalid."""
+        """Answer a request or pass it on to be forwarded.
+
+        Returns:
+            Whether it was a valid request under /api.
+
+        Raises:
+            HttpMessageError: the request is invalid, or the node does not serve its path or method.
+        """
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """Count the body of a finished request no longer against the limit."""
+        """Stop counting the body of this slot's request towards the limit for request bodies."""
 
 
 class DownstreamConnection(asyncio.Protocol):
-    """One connection of a client; responses go out in the order of the requests.
+    """A client connection, which sends its responses in the order of the requests.
 
-    ``ConnectionState`` has the table of its states.  Three flags are independent of the state:
+    ``ConnectionState`` lists the states of a connection and their transitions.  Three flags are independent
+    of the state:
 
-    * answered and brought_request occur in all four combinations: a connection may have had only responses
-      to readiness checks or to input that is not acceptable, and an accepted request may wait for the first
-      response.  Neither is ever reset.
-    * write_paused is set and reset by the event loop in any state, once a response has been written.
+    * ``answered`` and ``received_api_request`` occur in all four combinations.  A connection may have sent
+      only responses to readiness checks or to invalid input, and an accepted request may still wait for the
+      first response.  Neither flag is ever reset.
+    * ``write_paused`` is set and reset by the event loop in any state, once a response has been written.
 
     Attributes:
-        owner: the server that accepted it.
-        transport: its transport.
-        state: whether it accepts requests, only responds, or has finished.
-        waiting_since: when it was opened, a response was last written, or a request last began after a
-            response (monotonic, seconds).
-        last_input_at: when input last came (monotonic, seconds).
-        answered: it has had a response.
-        brought_request: it has brought a request for the servers.
-        write_paused: the client does not read what it is sent.
+        owner: the server that accepted the connection.
+        transport: the transport of the connection.
+        state: whether the connection accepts requests, only sends responses, or has finished.
+        waiting_since: when the connection was opened, when a response was last written, or when a request
+            last began after a response, whichever is latest (monotonic, seconds).
+        last_input_at: when input was last read (monotonic, seconds).
+        answered: whether a response has been written to the connection.
+        received_api_request: whether a valid request under /api has been read from the connection.
+        write_paused: whether writing is paused because the client does not read the output fast enough.
     """
 
     __slots__ = (
@@ -113,9 +126,9 @@
         "_reader",
         "_responses",
         "answered",
-        "brought_request",
         "last_input_at",
         "owner",
+        "received_api_request",
         "state",
         "transport",
         "waiting_since",
@@ -129,12 +142,12 @@
         self.waiting_since = 0.0
         self.last_input_at = 0.0
         self.answered = False
-        self.brought_request = False
+        self.received_api_request = False
         self.write_paused = False
         self._reader = HttpReader(self._on_request, requests=True)
         self._responses = ResponseQueue()
         self._accepted_after = accepted_after
-        self._arrived_at_s = 0.0  # the input that is being read has arrived after this time
+        self._arrived_at_s = 0.0  # The current input arrived after this time.
         self._discarded_bytes = 0
         self._linger_timer: asyncio.TimerHandle | None = None
         self._open_requests_timer: asyncio.TimerHandle | None = None
@@ -143,7 +156,7 @@
 
     @property
     def phase(self) -> ConnectionPhase:
-        """What the connection waits for."""
+        """What the connection is waiting for."""
         if self.state is FINISHED:
             return CLOSING
         if self._responses:
@@ -151,39 +164,40 @@
         return RECEIVING if self._reader.in_message else IDLE
 
     def is_busy(self) -> bool:
-        """Whether a response, or a part of one, is still to be sent, or a request is arriving."""
+        """Return whether output is unsent, a response is due, or a part of a request has been read."""
         return self.transport.has_unsent_output() or bool(self._responses) or self.phase is RECEIVING
 
     def has_unread_input(self) -> bool:
-        """Whether input that will be accepted has arrived and is not read yet."""
+        """Return whether unread input has arrived while the connection still accepts requests."""
         return self.state is ACCEPTING_REQUESTS and self.transport.has_unread_input()
 
     def must_close_after(self, slot: ResponseSlot) -> bool:
-        """Whether it closes after this response, as the node drains.
+        """Return whether draining requires the connection to close after the response in this slot.
 
-        Nothing may follow a response that closes: with more requests behind it this one leaves it open.
+        No response can follow a response that closes the connection.  So if later requests on the connection
+        are open, the response in this slot leaves the connection open.
         """
         return self.owner.draining and self._responses.is_last(slot)
 
-    # Requests in.
+    # Reading requests.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop for an accepted connection."""
+        """Set up the connection; called by the event loop."""
         self.transport.attach(transport)
         self.waiting_since = self.owner.now()
         self.owner.iterations.mark_activity()
         self.owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop with input."""
+        """Parse input, or discard it if no further request is accepted; called by the event loop."""
         if self.state is not ACCEPTING_REQUESTS:
-            # Further reading reveals when the client leaves, but not every amount is worth reading for that.
+            # The input is read only to detect a close by the client, and only up to MAX_DISCARDED_BYTES.
             self._discarded_bytes += len(data)
             self._update_reading()
             return
         self._arrived_at_s = self.owner.iterations.earliest_arrival()
         if not self.answered and self._arrived_at_s <= self.waiting_since:
-            # It may have arrived together with the connection, and waited in the backlog with it.
+            # The input may have arrived before the connection was accepted, while it was in the backlog.
             self._arrived_at_s = self._accepted_after
         self.last_input_at = self.owner.now()
         if self.answered and self.phase is IDLE:
@@ -205,33 +219,36 @@
         try:
             if len(self._responses) > MAX_PIPELINED_REQUESTS:
                 raise HttpMessageError(400, "too many pipelined requests")
-            self.brought_request |= self.owner.route(message, slot)
+            self.received_api_request |= self.owner.route(message, slot)
         except HttpMessageError as error:
             self.respond_early(error.status, slot)
         except Exception:
-            # A fault must affect this request only, and it must still get a response.
+            # An unexpected error must affect only this request, and the request must still get a response.
             log.exception("request_failed")
             slot.respond(500)
 
     def end_input(self) -> None:
-        """Accept no further request, neither from the input that is being parsed nor from later input."""
+        """Accept no further request, either from the input that is being parsed or from later input."""
         if self.state is ACCEPTING_REQUESTS:
             self.state = INPUT_ENDED
         self._reader.stop()
 
     def eof_received(self) -> bool:
-        """The client has closed: its requests end, but output that was written before is still sent."""
+        """End all requests of the client, which has closed its side; called by the event loop.
+
+        Output that was written before is still sent.
+        """
         self.state = FINISHED
         self._responses.abandon_all()
         return False
 
     def end_after_client_left(self) -> None:
-        """Do what eof_received does, when the client's end is found before the event loop reads it."""
+        """End all requests and close the connection after a poll has found that the client has left."""
         self.eof_received()
         self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the event loop when the connection is gone."""
+        """Clean up after the connection is closed or lost; called by the event loop."""
         self.transport.detach()
         for timer in (self._linger_timer, self._open_requests_timer):
             if timer is not None:
@@ -240,13 +257,13 @@
         self._responses.abandon_all()
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """Count the body of a finished request no longer against the limit."""
+        """Stop counting the body of this slot's request towards the limit for request bodies."""
         self.owner.release_body(slot)
 
-    # Responses out.
+    # Sending responses.
 
     def flush(self) -> None:
-        """Send the responses that are known, in order; stop before the first that is not."""
+        """Send the available responses in order, up to the first request that has no response yet."""
         if not self.transport.is_attached:
             return
         responses = self._responses
@@ -263,14 +280,14 @@
         self._update_reading()
 
     def respond_early(self, status: int, slot: ResponseSlot | None = None) -> None:
-        """Answer input that is not acceptable, after the requests before it, and close.
+        """Send an error response to invalid or late input after the open requests before it, and close.
 
-        Those have OPEN_REQUESTS_TIMEOUT_S for their responses.  Then they get the same status, as the
-        protocol requires the error by then.
+        The open requests have OPEN_REQUESTS_TIMEOUT_S for their responses.  After this time they are answered
+        with the same error status, because the protocol limits the time until the error response.
 
         Args:
-            status: the status of the response.
-            slot: the slot of the request that is not acceptable; None where no complete request was read.
+            status: the status code of the error response.
+            slot: the slot of the invalid request, or None if no complete request was read.
         """
         self.end_input()
         if self.state is FINISHED:
@@ -286,7 +303,7 @@
             )
 
     def _finish(self) -> None:
-        """Close after the last response, once the client has had the time to read it."""
+        """Start to close the connection after the last response, with a wait for the client to read it."""
         self.state = FINISHED
         self.owner.table.update_eviction(self)
         self.end_input()
@@ -300,48 +317,52 @@
         self._linger_timer = loop.call_later(LINGER_S, self.abort_when_sent)
 
     def abort_when_sent(self) -> None:
-        """Close, or wait again while the last response is not sent: to abort would cut it off."""
+        """Close the connection, or wait again while a part of the last response is unsent."""
         if self.transport.has_unsent_output():
-            self._linger()
+            self._linger()  # An abort would discard the unsent part.
         else:
             self.abort(CloseReason.LAST_RESPONSE)
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once; output that has not been sent is dropped."""
+        """Close the connection at once and discard output that has not been sent."""
         self._record_close(reason)
         self.transport.abort()
 
     def close(self, reason: CloseReason) -> None:
-        """Close when everything that was written has been sent."""
+        """Close the connection once all written output has been sent."""
         self._record_close(reason)
         self.state = FINISHED
         self.transport.close()
 
     def _record_close(self, reason: CloseReason) -> None:
-        """Count the close, unless the connection is closing or lost already."""
+        """Count the close by its reason, unless the connection is already closing or lost."""
         if self.transport.is_open:
             self.owner.counters.closed[reason] += 1
             self._report_unanswered(reason)
 
     def _report_unanswered(self, reason: CloseReason) -> None:
-        """Report each request that the close would leave without a response."""
+        """Report a rule violation for each request that the close leaves without a response."""
         for _ in range(self._responses.count_unanswered()):
             self.owner.rules.report(Rule.CLOSED_UNANSWERED, reason=reason.value)
 
     # Backpressure.
 
     def pause_writing(self) -> None:
-        """Called by the event loop when the client does not read what it is sent."""
+        """Pause reading while the client does not read its responses; called by the event loop."""
         self.write_paused = True
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Called by the event loop when the client reads again."""
+        """Resume reading when the client reads its responses again; called by the event loop."""
         self.write_paused = False
         self._update_reading()
 
     def _update_reading(self) -> None:
-        """Read only while responses can be sent; this bounds the memory that one client can take."""
+        """Pause or resume reading, to limit the memory that one client can use.
+
+        Reading pauses while the client does not read its responses, while PAUSE_READING_AT requests are open,
+        and after MAX_DISCARDED_BYTES of discarded input.
+        """
         self.owner.table.refresh_eviction(self)
         if not self.transport.is_open:
             return
--- a/load_balancer/proxy/downstream/connection_state.py
+++ b/load_balancer/proxy/downstream/connection_state.py
@@ -1,7 +1,8 @@
 """The states of a client connection, and the transitions between them.
 
-``ConnectionState`` is stored and changes with the events of its table.  ``ConnectionPhase`` is derived from
-it, from the open requests and from the request being received; timeouts and eviction depend on the phase.
+A connection stores its ``ConnectionState``, which changes with the events in the table of that class.  The
+``ConnectionPhase`` is derived from the state, from the open requests, and from whether a part of a request
+has been read.  Timeouts and eviction depend on the phase.
 """
 
 from __future__ import annotations
@@ -10,69 +11,77 @@
 
 
 class ConnectionState(Enum):
-    """Which directions of a connection are in use.
-
-    Every other pair of state and event leaves the state as it is:
-
-    ======================  ===============================================  ======================
-    state                   event                                            next state
-    ======================  ===============================================  ======================
-    ``ACCEPTING_REQUESTS``  a request that asks for the close                ``INPUT_ENDED``
-    ``ACCEPTING_REQUESTS``  input that is not acceptable, or comes too late  ``INPUT_ENDED``
-    ``ACCEPTING_REQUESTS``  the node ends all input at the end of shutdown   ``INPUT_ENDED``
-    ``ACCEPTING_REQUESTS``  a response that closes the connection is written  ``FINISHED``
-    ``ACCEPTING_REQUESTS``  the client closes, or is found to have closed    ``FINISHED``
-    ``ACCEPTING_REQUESTS``  the node closes it: idle, evicted, drained       ``FINISHED``
-    ``INPUT_ENDED``         a response that closes the connection is written  ``FINISHED``
-    ``INPUT_ENDED``         the client closes, or is found to have closed    ``FINISHED``
-    ``INPUT_ENDED``         the node closes it: idle, evicted                ``FINISHED``
-    ======================  ===============================================  ======================
-
-    Aborting the transport changes no state, as the event loop reports the end of the connection next.
+    """Whether a connection accepts requests, only sends responses, or has finished.
+
+    These are all the transitions.  Any other event leaves the state unchanged.
+
+    ======================  ========================================================  ======================
+    state                   event                                                     next state
+    ======================  ========================================================  ======================
+    ``ACCEPTING_REQUESTS``  a request that asks to close the connection is read       ``INPUT_ENDED``
+    ``ACCEPTING_REQUESTS``  invalid input is read, or a request takes too long        ``INPUT_ENDED``
+    ``ACCEPTING_REQUESTS``  the node stops accepting requests at the end of shutdown  ``INPUT_ENDED``
+    ``ACCEPTING_REQUESTS``  a response that closes the connection is written          ``FINISHED``
+    ``ACCEPTING_REQUESTS``  the client closes, or a poll finds that it has closed     ``FINISHED``
+    ``ACCEPTING_REQUESTS``  idle timeout, eviction or draining closes the connection  ``FINISHED``
+    ``INPUT_ENDED``         a response that closes the connection is written          ``FINISHED``
+    ``INPUT_ENDED``         the client closes, or a poll finds that it has closed     ``FINISHED``
+    ``INPUT_ENDED``         idle timeout or eviction closes the connection            ``FINISHED``
+    ======================  ========================================================  ======================
+
+    Aborting the transport does not change the state, because the event loop reports the end of the connection
+    next.
     """
 
     ACCEPTING_REQUESTS = "accepting_requests"
-    """Requests are read and accepted.  The initial state."""
+    """The connection reads and accepts requests.  This is the initial state."""
 
     INPUT_ENDED = "input_ended"
-    """No further request is accepted and further input is discarded; accepted requests are still answered.
+    """No further request is accepted and further input is discarded.  Accepted requests are still answered.
 
-    A response is due in this state, except where the node has ended all input."""
+    A response is always due in this state, except after the node has stopped accepting requests in a
+    shutdown."""
 
     FINISHED = "finished"
-    """No response follows: the last one has been written, the client has left, or the node has closed it.
+    """No further response follows.
 
-    The transport may still be sending what was written."""
+    The last response has been written, the client has left, or the node has closed the connection.  The
+    transport may still be sending output that was written before."""
 
 
 class ConnectionPhase(Enum):
-    """What a connection waits for.  The first phase that applies, in this order, is the phase.
+    """What a connection is waiting for.
 
-    ================  ======================  =============  =================
-    phase             state                   open requests  request begun
-    ================  ======================  =============  =================
+    The phase is the first row of this table whose conditions hold:
+
+    ================  ======================  =============  ======================
+    phase             state                   open requests  part of a request read
+    ================  ======================  =============  ======================
     ``CLOSING``       ``FINISHED``            any            any
     ``RESPONSE_DUE``  any other               one or more    any
     ``RECEIVING``     any other               none           yes
     ``IDLE``          any other               none           no
-    ================  ======================  =============  =================
+    ================  ======================  =============  ======================
     """
 
     CLOSING = "closing"
-    """For the client to read the last response, or for the end of the connection."""
+    """The connection waits for the client to read the last response, or for the end of the connection."""
 
     RESPONSE_DUE = "response_due"
-    """For the response to a request that was accepted."""
+    """The connection waits for the response to an accepted request."""
 
     RECEIVING = "receiving"
-    """For the rest of a request that has begun."""
+    """The connection waits for the rest of a request of which a part has been read."""
 
     IDLE = "idle"
-    """For the next request: it may be closed, as clients resend a request that crosses the close."""
+    """The connection waits for the next request.
+
+    The node may close the connection in this phase, because clients resend a request that they sent while the
+    node was closing the connection."""
 
 
-# The same members under module names, which are compared for each piece of input.  Before Python 3.12 a
-# look-up of a member on its class calls a Python function, which takes longer than the comparison.
+# Aliases of the enum members, which are compared for each piece of input.  Before Python 3.12, looking up a
+# member on its enum calls a Python function, which takes longer than the comparison itself.
 ACCEPTING_REQUESTS = ConnectionState.ACCEPTING_REQUESTS
 INPUT_ENDED = ConnectionState.INPUT_ENDED
 FINISHED = ConnectionState.FINISHED
--- a/load_balancer/proxy/downstream/eviction.py
+++ b/load_balancer/proxy/downstream/eviction.py
@@ -1,4 +1,4 @@
-"""Eviction: which connections may be closed to admit a new one, and in which order they are considered."""
+"""The rules of eviction: which connections may be closed to admit a new one, and in which order."""
 
 from __future__ import annotations
 
@@ -17,63 +17,67 @@
 )
 from load_balancer.proxy.observability.counters import CloseReason
 
-SCAN_LIMIT = 8  # connections that are examined at the head of each queue, for each new connection
-EVICTABLE_AFTER_S = 0.5  # a request that is not complete by then does not protect its connection any more
+# The number of connections that are examined at the head of each queue to find a connection to evict.
+SCAN_LIMIT = 8
+# A connection with an incomplete request may be evicted after this time.  Unless there is a connection burst,
+# an unused connection may be evicted after this time too.
+EVICTABLE_AFTER_S = 0.5
 
 Connection = TypeVar("Connection")
 
 
 class EvictionPriority(IntEnum):
-    """The order in which connections are closed to admit a new one, the lowest value first.
+    """The order in which connections are closed to admit a new one, with the lowest value first.
 
-    Without eviction, clients with requests would be refused while unused connections fill the table.
+    Without eviction, unused connections could fill the table, so that clients with requests would be refused.
     """
 
     FINISHED = 0
-    """Its last response has been written."""
+    """The last response on the connection has been written."""
 
     IDLE_UNUSED = 1
-    """It is between requests and never brought one for the servers.
+    """The connection is between requests and has never sent a valid request under /api.
 
-    A burst of unused connections must not make a client with requests open a new connection."""
+    Unused connections come before ``IDLE`` ones, so that a burst of unused connections does not force clients
+    with requests to open new connections."""
 
     IDLE = 2
-    """It is between requests, and has brought one for the servers."""
+    """The connection is between requests and has sent a valid request under /api."""
 
     REQUEST_INCOMPLETE = 3
-    """A request has begun and is not complete."""
+    """A part of a request has been read, and the request is not complete."""
 
 
 class EvictableConnection(Protocol):
-    """A connection as its eviction sees it.
+    """The interface of a connection that eviction uses.
 
     Attributes:
-        transport: its transport.
-        waiting_since: when it was opened, a response was last written, or a request last began after a
-            response (monotonic, seconds).
-        brought_request: it has brought a request for the servers.
+        transport: the transport of the connection.
+        waiting_since: when the connection was opened, when a response was last written, or when a request
+            last began after a response, whichever is latest (monotonic, seconds).
+        received_api_request: whether a valid request under /api has been read from the connection.
     """
 
     transport: ClientTransport
     waiting_since: float
-    brought_request: bool
+    received_api_request: bool
 
     @property
     def phase(self) -> ConnectionPhase:
-        """What the connection waits for."""
+        """What the connection is waiting for."""
 
     def has_unread_input(self) -> bool:
-        """Whether input that will be accepted has arrived and is not read yet."""
+        """Return whether unread input has arrived while the connection still accepts requests."""
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once."""
+        """Close the connection at once and discard output that has not been sent."""
 
     def close(self, reason: CloseReason) -> None:
-        """Close when what was written has been sent."""
+        """Close the connection once all written output has been sent."""
 
 
 def eviction_priority(connection: EvictableConnection) -> EvictionPriority | None:
-    """The priority by the connection's phase; None while it has a request open."""
+    """Return the eviction priority for the connection's phase, or None while a response is due."""
     phase = connection.phase
     if phase is RESPONSE_DUE:
         return None
@@ -81,32 +85,33 @@
         return EvictionPriority.FINISHED
     if phase is RECEIVING:
         return EvictionPriority.REQUEST_INCOMPLETE
-    return EvictionPriority.IDLE if connection.brought_request else EvictionPriority.IDLE_UNUSED
+    return EvictionPriority.IDLE if connection.received_api_request else EvictionPriority.IDLE_UNUSED
 
 
 def is_evictable(connection: EvictableConnection, now: float, unused_grace_s: float) -> bool:
-    """Whether the connection may be closed right now.
+    """Return whether the connection may be closed now.
 
     Args:
         connection: a connection that is queued for eviction.
-        now: monotonic time in seconds.
-        unused_grace_s: for how long an idle connection that brought no request yet is spared.  A client
-            connects because it has a request: without this time each client of a burst would evict the one
-            before it, whose request is on its way, while idle connections stay open.
+        now: the monotonic time in seconds.
+        unused_grace_s: the time in seconds for which an idle connection that has sent no valid request under
+            /api must not be evicted.  A client usually connects to send a request.  Without this grace
+            period, each new client of a burst would evict the client that connected before it, although that
+            client's request is about to arrive, while idle connections stay open.
     """
     phase = connection.phase
     waited_s = now - connection.waiting_since
     if phase is CLOSING:
         return not connection.transport.has_unsent_output()
     if phase is IDLE:
-        grace_is_over = connection.brought_request or waited_s >= unused_grace_s
-        # A request that lies unread counts as accepted.
+        grace_is_over = connection.received_api_request or waited_s >= unused_grace_s
+        # An unread request counts as accepted.
         return grace_is_over and not connection.has_unread_input()
     return waited_s > EVICTABLE_AFTER_S
 
 
 def evict(connection: EvictableConnection) -> None:
-    """Close the connection: at once after its last response, else when what was written has been sent."""
+    """Close a connection: at once after its last response, otherwise once its output has been sent."""
     if connection.phase is CLOSING:
         connection.abort(CloseReason.EVICTED)
     else:
@@ -114,9 +119,9 @@
 
 
 class EvictionQueues(Generic[Connection]):
-    """One queue for each priority, in each the connection that has waited longest first.
+    """A queue of connections for each eviction priority, with the longest-waiting connection at the head.
 
-    In a burst of new connections, finding one to close must not scan all connections for each of them.
+    The queues avoid a scan of all connections for each new connection in a burst.
     """
 
     def __init__(self) -> None:
@@ -127,27 +132,30 @@
         return len(self._priorities)
 
     def count(self, priority: EvictionPriority) -> int:
-        """How many connections are queued with this priority."""
+        """Return the number of connections that are queued with this priority."""
         return len(self._queues[priority])
 
     def priority_of(self, connection: Connection) -> EvictionPriority | None:
-        """The priority that the connection is queued with; None if it is in no queue."""
+        """Return the priority with which the connection is queued, or None if it is not queued."""
         return self._priorities.get(connection)
 
     def enqueue(self, connection: Connection, priority: EvictionPriority | None) -> None:
-        """Put the connection at the end of the queue of its priority; None only removes it."""
+        """Move the connection to the end of the queue of this priority; None removes it from its queue."""
         self.remove(connection)
         if priority is not None:
             self._queues[priority][connection] = None
             self._priorities[connection] = priority
 
     def remove(self, connection: Connection) -> None:
-        """Take the connection out of its queue, if it is in one."""
+        """Remove the connection from its queue, if it is queued."""
         priority = self._priorities.pop(connection, None)
         if priority is not None:
             del self._queues[priority][connection]
 
     def candidates(self) -> Iterator[Connection]:
-        """The connections to examine, by priority; the iteration ends at the first change."""
+        """Return an iterator over the first SCAN_LIMIT connections of each queue, by priority.
+
+        The queues must not be changed while the iterator is in use.
+        """
         for queue in self._queues:
             yield from islice(queue, SCAN_LIMIT)
--- a/load_balancer/proxy/downstream/server.py
+++ b/load_balancer/proxy/downstream/server.py
@@ -1,4 +1,4 @@
-"""The client side of the node: composes the listener, the connections, their timeouts and the routing."""
+"""The server for clients, which composes the listener, the connections, their timeouts and the routing."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from load_balancer.proxy.downstream.request_parsing import RequestParser
 from load_balancer.proxy.downstream.request_router import AcceptRequest, RequestRouter
 from load_balancer.proxy.downstream.response_slot import ResponseSlot
-from load_balancer.proxy.downstream.timeouts import REAP_INTERVAL_S, enforce_timeouts
+from load_balancer.proxy.downstream.timeouts import TIMEOUT_CHECK_INTERVAL_S, enforce_timeouts
 from load_balancer.proxy.event_loop.loop_iterations import LoopIterations
 from load_balancer.proxy.http.reader import HttpMessage
 from load_balancer.proxy.observability.counters import CloseReason, NodeCounters
@@ -22,15 +22,15 @@
 
 
 class DownstreamServer:
-    """The listening socket and all connections of clients.
+    """The listening socket and all client connections.
 
     Attributes:
-        iterations: bounds the arrival times of what is read.
+        iterations: provides the earliest time at which input can have arrived.
         counters: counts responses and closed connections.
         rules: records rule violations.
-        draining: every response closes its connection.
-        last_activity: when a connection or a request last came (monotonic, seconds).
-        table: the open connections, and their eviction.
+        draining: whether the node is draining, so that responses close their connections.
+        last_activity: when a connection was last opened or a request was last read (monotonic, seconds).
+        table: the table of the open connections, which also evicts connections.
         router: routes the requests.
         disconnect_poller: polls the connections that are not read.
     """
@@ -65,40 +65,51 @@
             lambda accepted_after: DownstreamConnection(self, accepted_after), self._has_capacity, iterations
         )
         self._loop = asyncio.get_running_loop()
-        self._reap_timer = self._loop.call_later(REAP_INTERVAL_S, self._reap)
+        self._timeout_check_timer = self._loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     # State.
 
     @property
     def connections(self) -> frozenset[DownstreamConnection]:
-        """The connections that are open."""
+        """The open connections, without evicted connections that are still closing."""
         return frozenset(self.table)
 
     @staticmethod
     def now() -> float:
-        """Monotonic seconds; the loop's own time is too coarse to tell which connection is idle longest."""
+        """Return the monotonic time in seconds.
+
+        The event loop's own time is too coarse to determine which connection has been idle longest.
+        """
         return time.monotonic()
 
     def is_listening(self) -> bool:
-        """Whether new connections are accepted."""
+        """Return whether the listening socket is open."""
         return self._listener.is_listening()
 
     def is_busy(self) -> bool:
-        """Whether a response is due, a client is sending, or a connection waits to be accepted."""
+        """Return whether a response is due or unsent, a request is arriving, or a connection is pending."""
         busy = any(c.is_busy() or c.has_unread_input() for c in self.table)
         return busy or self._listener.has_pending_connections()
 
     # Lifecycle.
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen on this address only; returns it with the port that was bound.  OSError if that fails."""
+        """Listen on this address only.
+
+        Returns:
+            The address with the port that was bound.
+
+        Raises:
+            OSError: the node cannot listen on the address.
+        """
         return self._listener.listen(address)
 
     def drain(self) -> None:
-        """From now on every response closes its connection, and idle ones are closed at once.
+        """Start to drain: responses close their connections from now on, and idle connections close at once.
 
-        Two kinds of idle connections stay open.  One that has had no response yet: its client has connected
-        to send a request, and the close would refuse it.  And one with a request that is not read yet.
+        Two kinds of idle connections stay open.  The first kind has had no response yet: its client has
+        connected to send a request, which the close would refuse.  The second kind has unread input, which
+        counts as an accepted request.
         """
         self.draining = True
         idle = [c for c in self.table if c.phase is IDLE and c.answered and not c.has_unread_input()]
@@ -106,14 +117,14 @@
             connection.close(CloseReason.DRAINED)
 
     def end_input(self) -> None:
-        """Accept no further connection and no further request; open requests can still be answered."""
+        """Accept no further connection and no further request.  Open requests can still be answered."""
         self._listener.close()
         for connection in list(self.table):
             connection.end_input()
 
     def close(self) -> None:
-        """Close the listening socket and drop every connection."""
-        self._reap_timer.cancel()
+        """Close the listening socket and abort every connection."""
+        self._timeout_check_timer.cancel()
         self.disconnect_poller.cancel()
         self._listener.close()
         for connection in list(self.table):
@@ -122,35 +133,38 @@
     # Connections.
 
     def _has_capacity(self) -> bool:
-        """Whether one more connection may be accepted; else one is evicted, which frees its place later."""
+        """Return whether one more connection may be accepted, and evict a connection if not.
+
+        The evicted connection counts as open until it is closed, so the capacity is available only later.
+        """
         if self.table.has_capacity(self._listener.opening):
             return True
         self.table.evict_one()
         return False
 
     def connection_opened(self, connection: DownstreamConnection) -> None:
-        """A connection has been accepted; where there are too many, one is closed."""
+        """Handle a newly accepted connection, and evict another connection if the limit is exceeded."""
         self.table.add(connection)
         self.last_activity = self.now()
         if self.table.is_over_limit():
             self.table.evict_one(connection)
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
-        """A connection is gone."""
+        """Handle a connection that has been closed or lost."""
         self.table.remove(connection)
         self.disconnect_poller.remove(connection)
         self._listener.connection_closed()
 
     def reading_paused(self, connection: DownstreamConnection) -> None:
-        """From now on only a poll of its socket reveals that this client has left."""
+        """Start to poll a connection that is no longer read, to detect when its client leaves."""
         self.disconnect_poller.add(connection)
 
     def reading_resumed(self, connection: DownstreamConnection) -> None:
-        """The connection is read again."""
+        """Stop polling a connection that is read again."""
         self.disconnect_poller.remove(connection)
 
-    def _reap(self) -> None:
-        self._reap_timer = self._loop.call_later(REAP_INTERVAL_S, self._reap)
+    def _check_timeouts(self) -> None:
+        self._timeout_check_timer = self._loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
         now = self.now()
         for connection in list(self.table):
             enforce_timeouts(connection, now)
@@ -158,10 +172,17 @@
     # Requests.
 
     def route(self, message: HttpMessage, slot: ResponseSlot) -> bool:
-        """Take a request; returns whether it is one for the servers.  HttpMessageError if it is invalid."""
+        """Answer a request or pass it on to be forwarded.
+
+        Returns:
+            Whether it was a valid request under /api.
+
+        Raises:
+            HttpMessageError: the request is invalid, or the node does not serve its path or method.
+        """
         self.last_activity = self.now()
         return self.router.route(message, slot)
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """Count the body of a finished request no longer against the limit."""
+        """Stop counting the body of this slot's request towards the limit for request bodies."""
         self.router.release_body(slot)
--- a/load_balancer/proxy/downstream/timeouts.py
+++ b/load_balancer/proxy/downstream/timeouts.py
@@ -1,4 +1,4 @@
-"""The timeouts of a client connection, by the phase that it is in."""
+"""The timeouts of a client connection, which depend on its phase."""
 
 from __future__ import annotations
 
@@ -7,61 +7,70 @@
 from load_balancer.proxy.downstream.connection_state import CLOSING, IDLE, RECEIVING, ConnectionPhase
 from load_balancer.proxy.observability.counters import CloseReason
 
-REAP_INTERVAL_S = 0.25  # how often the timeouts of all connections are checked
+TIMEOUT_CHECK_INTERVAL_S = 0.25  # the interval at which the timeouts of all connections are checked
 
-# For a request to arrive completely: the first one of a connection, and a later one.  A client that connects
-# usually has a request.  Where none is complete by then the connection is answered or closed, which with
-# the check interval and the network's time is within the 3 s that the protocol allows.
+# The time in which a request must be complete.  FIRST_REQUEST_TIMEOUT_S applies until a connection has sent a
+# valid request under /api, and REQUEST_TIMEOUT_S applies afterwards.  A client that connects usually has a
+# request.  If no request is complete in time, the node answers or closes the connection.  Together with the
+# check interval and the network delay, this takes less than the 3 s that the protocol allows.
 FIRST_REQUEST_TIMEOUT_S = 2.25
 REQUEST_TIMEOUT_S = 10.0
-# For the next piece of a request: a client that stops sending also has to be answered within 3 s.
+# The time in which the next piece of an incomplete request must arrive.  The protocol requires an answer to a
+# client that stops sending within 3 s too.
 STALLED_REQUEST_TIMEOUT_S = 2.25
 
-# Between requests.  A connection that brought no request for the endpoints is closed as soon as the protocol
-# allows it, as clients keep such connections open for good; one that did bring some saves a handshake.
+# The timeouts of a connection between requests.  A connection that has sent no valid request under /api is
+# closed as soon as the protocol allows, because clients keep such connections open indefinitely.  Other
+# connections stay open longer, which saves the handshake of a new connection.
 UNUSED_IDLE_TIMEOUT_S = 2.25
 IDLE_TIMEOUT_S = 60.0
 
-RESPONSE_READ_TIMEOUT_S = 10.0  # for a client to read its response
+RESPONSE_READ_TIMEOUT_S = 10.0  # the time in which a client must read a response
 
 
 class TimedConnection(Protocol):
-    """A connection as its timeouts see it.
+    """The interface of a connection that the timeouts use.
 
     Attributes:
-        waiting_since: when it was opened, a response was last written, or a request last began after a
-            response (monotonic, seconds).
-        last_input_at: when input last came (monotonic, seconds).
-        brought_request: it has brought a request for the servers.
-        write_paused: the client does not read what it is sent.
+        waiting_since: when the connection was opened, when a response was last written, or when a request
+            last began after a response, whichever is latest (monotonic, seconds).
+        last_input_at: when input was last read (monotonic, seconds).
+        received_api_request: whether a valid request under /api has been read from the connection.
+        write_paused: whether writing is paused because the client does not read the output fast enough.
     """
 
     waiting_since: float
     last_input_at: float
-    brought_request: bool
+    received_api_request: bool
     write_paused: bool
 
     @property
     def phase(self) -> ConnectionPhase:
-        """What the connection waits for."""
+        """What the connection is waiting for."""
 
     def has_unread_input(self) -> bool:
-        """Whether input that will be accepted has arrived and is not read yet."""
+        """Return whether unread input has arrived while the connection still accepts requests."""
 
     def respond_early(self, status: int) -> None:
-        """Answer input that is not acceptable, and close."""
+        """Send an error response to invalid or late input, and close the connection."""
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once."""
+        """Close the connection at once and discard output that has not been sent."""
 
     def close(self, reason: CloseReason) -> None:
-        """Close when what was written has been sent."""
+        """Close the connection once all written output has been sent."""
 
 
 def enforce_timeouts(connection: TimedConnection, now: float) -> None:
-    """End the connection's wait if it has taken too long; to be called every REAP_INTERVAL_S.
+    """Answer or close the connection if it has exceeded the timeout of its phase.
 
-    While a response is due there is no timeout here: the request has a deadline of its own.
+    The caller must call this function every TIMEOUT_CHECK_INTERVAL_S.  While a response is due, no timeout of
+    the connection applies, except that the client must read its earlier responses.  The request has its own
+    deadline.
+
+    Args:
+        connection: the connection to check.
+        now: the monotonic time in seconds.
     """
     phase = connection.phase
     if connection.write_paused or phase is CLOSING:
@@ -71,22 +80,23 @@
         if _request_timed_out(connection, now):
             connection.respond_early(408)
     elif phase is IDLE and _idle_timed_out(connection, now):
-        connection.close(CloseReason.IDLE if connection.brought_request else CloseReason.UNUSED)
+        connection.close(CloseReason.IDLE if connection.received_api_request else CloseReason.UNUSED)
 
 
 def _request_timed_out(connection: TimedConnection, now: float) -> bool:
-    """Whether a request that has begun has taken too long.
+    """Return whether a request that has been read in part has taken too long.
 
-    Where the event loop is late the rest of the request may lie unread: it gets one more interval.
+    If the event loop is late, the rest of the request may have arrived but be unread.  In this case the
+    request gets one more TIMEOUT_CHECK_INTERVAL_S.
     """
-    timeout_s = REQUEST_TIMEOUT_S if connection.brought_request else FIRST_REQUEST_TIMEOUT_S
+    timeout_s = REQUEST_TIMEOUT_S if connection.received_api_request else FIRST_REQUEST_TIMEOUT_S
     late_s = now - connection.waiting_since - timeout_s
-    if late_s > REAP_INTERVAL_S:
+    if late_s > TIMEOUT_CHECK_INTERVAL_S:
         return True
     stalled = now - connection.last_input_at > STALLED_REQUEST_TIMEOUT_S
     return (late_s > 0.0 or stalled) and not connection.has_unread_input()
 
 
 def _idle_timed_out(connection: TimedConnection, now: float) -> bool:
-    timeout_s = IDLE_TIMEOUT_S if connection.brought_request else UNUSED_IDLE_TIMEOUT_S
+    timeout_s = IDLE_TIMEOUT_S if connection.received_api_request else UNUSED_IDLE_TIMEOUT_S
     return now - connection.waiting_since > timeout_s and not connection.has_unread_input()
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: pipelining, slow readers, and clients that leave."""
+"""Tests of a client connection: pipelining, clients that read slowly, and clients that leave."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @async_test
-async def test_unreadable_input_is_answered_before_open_requests() -> None:
+async def test_malformed_input_is_answered_within_3_s_while_request_is_open() -> None:
     async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         client = await environment.connect_client()
         client.writer.write(request("book"))
@@ -35,7 +35,7 @@
 
 
 @async_test
-async def test_slow_reader_gets_complete_last_response(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_that_reads_slowly_gets_complete_last_response(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("load_balancer.proxy.downstream.connection.LINGER_S", 0.01)
     body = b"x" * 60_000
     async with (
@@ -47,16 +47,16 @@
             connection = await connect_with_small_buffers(client, environment)
             await loop.sock_sendall(client, request("look", extra="Connection: close\r\n"))
             await until(lambda: connection.state is ConnectionState.FINISHED)
-            assert connection.transport.has_unsent_output(), "the test needs a response beyond the buffers"
+            assert connection.transport.has_unsent_output(), "the response must exceed the socket buffers"
             checks = 0
             abort_when_sent = DownstreamConnection.abort_when_sent
 
-            def counted(checked: DownstreamConnection) -> None:
+            def count_and_check(checked: DownstreamConnection) -> None:
                 nonlocal checks
                 checks += 1
                 abort_when_sent(checked)
 
-            monkeypatch.setattr(DownstreamConnection, "abort_when_sent", counted)
+            monkeypatch.setattr(DownstreamConnection, "abort_when_sent", count_and_check)
             await until(lambda: checks > 2)
             received = b""
             while part := await loop.sock_recv(client, 4096):
@@ -66,14 +66,14 @@
 
 @async_test
 async def test_pipelined_requests_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The requests within the limit were accepted, and each of them gets a response."""
+    """Check that requests up to the limit are accepted and answered, and further requests are not."""
     monkeypatch.setattr("load_balancer.proxy.downstream.connection.OPEN_REQUESTS_TIMEOUT_S", 0.05)
     async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         recorder = PolicyRecorder(environment.node)
         client = await environment.connect_client()
         client.writer.write(b"".join(request("look") for _ in range(300)))
         statuses = [(await client.read_response()).status for _ in range(MAX_PIPELINED_REQUESTS)]
-        assert set(statuses) <= {400, 503}, "503 where the policy rejects one in that time"
+        assert set(statuses) <= {400, 503}, "400, or 503 if the policy rejected the request"
         assert await client.ends_without_output()
         assert len(recorder.budgets) == MAX_PIPELINED_REQUESTS
         assert not environment.node.requests
@@ -100,19 +100,19 @@
             connection = await connect_with_small_buffers(client, environment)
             await loop.sock_sendall(client, request("look"))
             await until(lambda: connection.answered)
-            assert connection.transport.has_unsent_output(), "the test needs a response beyond the buffers"
+            assert connection.transport.has_unsent_output(), "the response must exceed the socket buffers"
             await loop.sock_sendall(client, open_requests(1))
             await until(lambda: len(endpoint.received) == 2)
             client.shutdown(socket.SHUT_WR)
             await until(lambda: not environment.node.requests)
             transport = connection.transport
-            assert transport.has_unsent_output(), "the test needs a response that is still being sent"
+            assert transport.has_unsent_output(), "a part of the response must be unsent"
             endpoint.release.set()
 
 
 @async_test
-async def test_requests_before_unacceptable_input_get_their_responses() -> None:
-    """They were accepted, and unacceptable input behind them must not leave them without a response."""
+async def test_requests_before_invalid_input_get_their_responses() -> None:
+    """Check that accepted requests get their responses although too many requests follow them."""
     behaviours = [when_released(reply("200 OK", b"x"))]
     async with StubServer(behaviours) as endpoint, running_node(row("a", endpoint.address)) as environment:
         recorder = PolicyRecorder(environment.node)
--- a/tests/proxy/downstream/test_timeouts.py
+++ b/tests/proxy/downstream/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of connections, and input that has arrived in time but is not read yet."""
+"""Tests of the timeouts of connections, and of input that has arrived in time but is unread."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 @pytest.mark.parametrize(
-    ("begun", "status"), [(b"", None), (request("book", body=b"x")[:-1], 408), (b"POST /api HT", 408)]
+    ("request_start", "status"), [(b"", None), (request("book", body=b"x")[:-1], 408), (b"POST /api HT", 408)]
 )
 @async_test
-async def test_missing_first_request_times_out(
-    begun: bytes, status: int | None, monkeypatch: pytest.MonkeyPatch
+async def test_missing_or_incomplete_first_request_times_out(
+    request_start: bytes, status: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("load_balancer.proxy.downstream.timeouts.FIRST_REQUEST_TIMEOUT_S", 0.05)
     monkeypatch.setattr("load_balancer.proxy.downstream.timeouts.UNUSED_IDLE_TIMEOUT_S", 0.05)
     async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         client = await environment.connect_client()
-        client.writer.write(begun)
+        client.writer.write(request_start)
         if status is not None:
             assert (await client.read_response()).status == status
         assert await client.ends_without_output()
@@ -36,8 +36,8 @@
 
 
 @async_test
-async def test_later_request_that_stops_is_answered_within_3_s() -> None:
-    """The limit for an error response is the same on a new connection and on a later request."""
+async def test_stalled_later_request_is_answered_within_3_s() -> None:
+    """Check that the time limit for an error response is not longer for a later request on a connection."""
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
@@ -52,7 +52,7 @@
         assert await client.ends_without_output()
 
 
-@pytest.mark.parametrize("request_begun", [False, True], ids=["idle", "half a request"])
+@pytest.mark.parametrize("request_begun", [False, True], ids=["idle", "incomplete request"])
 @async_test
 async def test_connection_with_unread_request_is_not_timed_out(
     request_begun: bool,
@@ -69,7 +69,7 @@
                 await until(lambda: connection.phase is ConnectionPhase.RECEIVING)
             client.sendall(text[30 if request_begun else 0 :])
             timeout_s = REQUEST_TIMEOUT_S if request_begun else IDLE_TIMEOUT_S
-            # Before the loop's next iteration.
+            # The event loop has not read the input yet.
             enforce_timeouts(connection, connection.waiting_since + timeout_s + 0.01)
             responses = asyncio.create_task(read_to_end(client))
             await until(lambda: len(endpoint.received) == 2)
