--- a/load_balancer/proxy/downstream/connection_table.py
+++ b/load_balancer/proxy/downstream/connection_table.py
@@ -1,4 +1,4 @@
-"""The open client connections, their limit, and the eviction of one to admit another."""
+"""The open client connections, their limit, and the eviction of a connection to admit a new one."""
 
 from __future__ import annotations
 
@@ -16,23 +16,30 @@
     is_evictable,
 )
 
-# Of the connection limit: with more idle connections that brought no request these evict one another.
+# A fraction of the connection limit.  If more connections than this are idle and unused (they have sent no
+# valid request under /api), unused connections may be evicted without a grace period.
 MAX_UNUSED_FRACTION = 0.5
-MIN_BURST_CONNECTIONS = 5  # fewer unused connections are no burst, however small the table
-SMALL_TABLE_GRACE_S = 0.05  # for the request of a new connection to come where the table is smaller than that
+# Fewer unused connections than this do not count as a connection burst, even if the connection limit is
+# small.
+MIN_BURST_CONNECTIONS = 5
+# The grace period in which an unused connection is not evicted, if more than MAX_UNUSED_FRACTION of the
+# connections are unused, but fewer than MIN_BURST_CONNECTIONS.  In this time the request of a new connection
+# can arrive.
+SMALL_TABLE_GRACE_S = 0.05
 
 
 class ConnectionTable:
-    """The connections of a server.
+    """The open connections of a ``DownstreamServer``.
 
     Attributes:
-        max_connections: connections that may be open; a few more are answered 503.
+        max_connections: the limit for open connections.  A few more are accepted, and their requests are
+            answered 503.
     """
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
         self._connections: set[DownstreamConnection] = set()
-        self._evicted: set[DownstreamConnection] = set()  # those that are not closed yet
+        self._evicted: set[DownstreamConnection] = set()  # evicted connections that are not closed yet
         self._eviction_queues: EvictionQueues[DownstreamConnection] = EvictionQueues()
 
     def __iter__(self) -> Iterator[DownstreamConnection]:
@@ -40,16 +47,16 @@
 
     @property
     def eviction_queues(self) -> EvictionQueues[DownstreamConnection]:
-        """The connections that may be evicted."""
+        """The queues of the connections that may be evicted."""
         return self._eviction_queues
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Enter a connection that has been accepted."""
+        """Add a connection that has been accepted."""
         self._connections.add(connection)
         self.update_eviction(connection)
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Remove a connection that is closed, evicted or not."""
+        """Remove a connection that is closed, whether it was evicted or not."""
         self._remove_open(connection)
         self._evicted.discard(connection)
 
@@ -60,13 +67,19 @@
     # Limits.
 
     def is_over_limit(self) -> bool:
-        """Whether more than the limit are open, as none could be evicted; requests are rejected."""
+        """Return whether more connections than the limit are open because none could be evicted.
+
+        Requests are rejected in this case.
+        """
         return len(self._connections) > self.max_connections
 
     def has_capacity(self, opening: int) -> bool:
-        """Whether one more connection may be accepted while this many are being opened.
+        """Return whether one more connection may be accepted.
 
-        An evicted connection holds its place until it is closed.
+        An evicted connection counts as open until it is closed.
+
+        Args:
+            opening: the number of accepted connections that are not in the table yet.
         """
         taken = len(self._connections) + len(self._evicted) + opening
         return taken < self.max_connections + overflow_of(self.max_connections)
@@ -74,23 +87,23 @@
     # Eviction.
 
     def update_eviction(self, connection: DownstreamConnection) -> None:
-        """Queue the connection for eviction by its present priority, behind the others."""
+        """Move the connection to the end of the eviction queue of its current priority."""
         priority = eviction_priority(connection) if connection in self._connections else None
         self._eviction_queues.enqueue(connection, priority)
 
     def refresh_eviction(self, connection: DownstreamConnection) -> None:
-        """Queue the connection anew if its priority has changed; else it keeps its place."""
+        """Requeue the connection if its eviction priority has changed; otherwise keep its position."""
         if self._eviction_queues.priority_of(connection) != eviction_priority(connection):
             self.update_eviction(connection)
 
     def evict_one(self, newest: DownstreamConnection | None = None) -> bool:
-        """Close the connection that comes first in the order of eviction.
+        """Close the first connection in the order of eviction that may be closed.
 
         Args:
-            newest: the connection that the place is for, which is spared.
+            newest: the new connection that needs capacity; it is not evicted.
 
         Returns:
-            Whether there was one that could be closed.
+            Whether a connection was closed.
         """
         now = time.monotonic()
         unused_grace_s = self._unused_grace_s()
@@ -103,11 +116,12 @@
         return False
 
     def _unused_grace_s(self) -> float:
-        """For how long a connection that brought no request yet is spared when capacity is short.
+        """Return the time in seconds for which an unused connection must not be evicted.
 
-        Where such connections fill half of the table they are a connection burst, and none of them is spared.
-        In a small table one or two of them are half of it without being a burst: their requests are on
-        their way.
+        If unused connections fill more than half of the table, they are treated as a connection burst, and
+        each of them may be evicted at once.  In a small table, one or two unused connections may exceed half
+        of the table without being a burst.  They get a short grace period, because their requests may still
+        arrive.
         """
         unused = self._eviction_queues.count(EvictionPriority.IDLE_UNUSED)
         if unused <= MAX_UNUSED_FRACTION * self.max_connections:
--- a/load_balancer/proxy/downstream/disconnect_poller.py
+++ b/load_balancer/proxy/downstream/disconnect_poller.py
@@ -1,4 +1,4 @@
-"""Notices clients that leave while their connections are not read."""
+"""Detection of clients that leave while their connections are not read."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 from load_balancer.proxy.downstream.connection import DownstreamConnection
 
-# While a connection is not read only a poll of its socket reveals that the client has left.  Each attempt
-# polls for itself before it begins; this ends requests that wait without an attempt to begin.
+# The interval between polls in seconds.  While a connection is not read, only a poll of its socket shows that
+# the client has left.  Each attempt polls the socket before it starts.  The polls at this interval also end
+# the requests of clients that have left if no attempt starts.
 DISCONNECT_CHECK_S = 0.1
 
 
 class DisconnectPoller:
-    """Polls the sockets of the connections that are not read, while there are any."""
+    """Polls the sockets of the connections that are not read, and ends those whose clients have left."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -25,17 +26,17 @@
         return frozenset(self._paused)
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Poll this connection from now on, as it is not read any more."""
+        """Start to poll a connection that is not read any more."""
         self._paused.add(connection)
         if self._timer is None:
             self._start_timer()
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Poll this connection no more: it is read again, or closed."""
+        """Stop polling a connection that is read again or is closed."""
         self._paused.discard(connection)
 
     def cancel(self) -> None:
-        """Poll no connection any more."""
+        """Stop the polls of all connections."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/load_balancer/proxy/downstream/listener.py
+++ b/load_balancer/proxy/downstream/listener.py
@@ -1,9 +1,9 @@
-"""The listening socket: accepts connections only while there is capacity for them.
+"""The listening socket, which accepts connections only while the node has capacity for them.
 
-The event loop's own server accepts every connection in the backlog.  Where no descriptor is left, its library
-accepts a connection with a spare descriptor and closes it at once.  The operating system has accepted that
-connection by then, and its request counts as received.  This listener leaves it in the backlog instead, until
-it can be served.
+The server of the event loop would accept every connection in the backlog.  If no file descriptor is free, its
+library accepts a connection with a spare descriptor and closes the connection at once.  But the operating
+system has already accepted this connection, and its request counts as received.  The listener in this module
+leaves such a connection in the backlog until the node can serve it.
 """
 
 from __future__ import annotations
@@ -22,23 +22,27 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024
-MAX_ACCEPTS = 16  # in one iteration, so that a connection burst does not delay those that are accepted
-# Until the next attempt to accept, where connections cannot be accepted or there is no capacity for them.
+# The limit of accepted connections per event-loop iteration.  Without it a connection burst would delay the
+# connections that are already accepted.
+MAX_ACCEPTS = 16
+# The first and the longest pause before the listener tries to accept again, after an accept has failed or
+# there was no capacity.  The pause doubles each time.
 FIRST_PAUSE_S = 0.01
 MAX_PAUSE_S = 0.1
-MAX_ACCEPT_DELAY_S = 1.0  # no connection is assumed to have waited in the backlog for longer than this
+# The longest time for which a connection is assumed to have waited in the backlog.
+MAX_ACCEPT_DELAY_S = 1.0
 
 _OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 ConnectionFactory = Callable[[float], DownstreamConnection]
-"""Makes the protocol of a connection that arrived after this monotonic time, in seconds."""
+"""Creates the protocol of a connection that arrived after the given monotonic time, in seconds."""
 
 
 class Listener:
-    """Accepts connections at one address.
+    """Accepts client connections at one address.
 
     Attributes:
-        opening: connections that have been accepted and are not in the table yet.
+        opening: the number of connections that have been accepted and are not in the connection table yet.
     """
 
     def __init__(
@@ -47,12 +51,12 @@
         has_capacity: Callable[[], bool],
         iterations: LoopIterations,
     ) -> None:
-        """Begin with no socket.
+        """Initialize the listener without a socket; ``listen`` opens the socket.
 
         Args:
-            create_connection: makes the protocol of an accepted connection.
-            has_capacity: whether one more connection may be accepted now.
-            iterations: bounds the arrival times of connections.
+            create_connection: creates the protocol of an accepted connection.
+            has_capacity: returns whether one more connection may be accepted now.
+            iterations: provides the earliest time at which a connection can have arrived.
         """
         self.opening = 0
         self._create_connection = create_connection
@@ -70,11 +74,14 @@
     # State.
 
     def is_listening(self) -> bool:
-        """Whether the system accepts connections for the node."""
+        """Return whether the socket is listening, so that the operating system accepts connections."""
         return self._socket is not None
 
     def has_pending_connections(self) -> bool:
-        """Whether a client has connected and is not served yet; its request counts as received already."""
+        """Return whether a client has connected whose connection is not in the connection table yet.
+
+        The request of such a client already counts as received.
+        """
         if self.opening:
             return True
         return self._socket is not None and poll_socket(self._socket.fileno(), select.POLLIN)
@@ -82,7 +89,14 @@
     # Lifecycle.
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen on this address only; returns it with the port that was bound.  OSError if that fails."""
+        """Listen on this address only.
+
+        Returns:
+            The address with the port that was bound.
+
+        Raises:
+            OSError: the node cannot listen on the address.
+        """
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             listening.setblocking(False)
@@ -98,7 +112,7 @@
         return bound
 
     def close(self) -> None:
-        """Stop listening; connections that are being opened are dropped."""
+        """Stop listening and drop the connections that are being opened."""
         self._stop_accepting()
         if self._pause_timer is not None:
             self._pause_timer.cancel()
@@ -108,7 +122,7 @@
             self._socket.close()
             self._socket = None
 
-    # Accepting.
+    # Accepting connections.
 
     def _start_accepting(self) -> None:
         self._pause_timer = None
@@ -134,21 +148,21 @@
                     return
             except OSError as error:
                 if error.errno not in _OUT_OF_RESOURCES:
-                    continue  # that connection broke while it was in the backlog
+                    continue  # The connection failed while it was in the backlog.
                 log.warning("accept_failed problem=%s", error)
                 self._pause(arrived_after)
                 return
         self._waiting_since = arrived_after
 
     def _arrived_after(self) -> float:
-        """The time after which every connection that is accepted now has arrived."""
+        """Return the monotonic time after which all connections that are accepted now arrived, in seconds."""
         arrived_after = self._iterations.earliest_arrival()
         if self._waiting_since is None:
             return arrived_after
         return min(arrived_after, max(self._waiting_since, arrived_after - MAX_ACCEPT_DELAY_S))
 
     def _accept(self, arrived_after: float) -> bool:
-        """Accept one connection; returns whether one was there."""
+        """Accept a connection, and return whether the backlog contained one."""
         assert self._socket is not None
         try:
             accepted, _ = self._socket.accept()
@@ -172,14 +186,14 @@
             self.opening -= 1
 
     def _pause(self, waiting_since: float) -> None:
-        """Leave the pending connections in the backlog for a moment."""
+        """Leave the pending connections in the backlog and stop accepting for the current pause."""
         self._waiting_since = waiting_since
         self._stop_accepting()
         self._pause_timer = self._loop.call_later(self._pause_s, self._start_accepting)
         self._pause_s = min(MAX_PAUSE_S, 2.0 * self._pause_s)
 
     def connection_closed(self) -> None:
-        """A connection has closed: accept the pending ones now, if there was no capacity for them."""
+        """Handle the close of a connection: end a pause and start accepting again."""
         if self._pause_timer is not None:
             self._pause_timer.cancel()
             self._pause_s = FIRST_PAUSE_S
--- a/tests/proxy/downstream/test_connection_table.py
+++ b/tests/proxy/downstream/test_connection_table.py
@@ -1,4 +1,4 @@
-"""The connections together: their limit, and the eviction of one to admit another."""
+"""Tests of the connection limit, and of the eviction of a connection to admit a new one."""
 
 from __future__ import annotations
 
@@ -27,34 +27,36 @@
     ):
         used = await environment.connect_client()
         assert (await used.fetch("look")).status == 200
-        most = environment.node.downstream.table.max_connections
-        unused = [await environment.connect_client() for _ in range(most - 1)]
+        max_connections = environment.node.downstream.table.max_connections
+        unused = [await environment.connect_client() for _ in range(max_connections - 1)]
         for client in unused:
             assert (await client.fetch(target="/ready")).status == 200
-        silent_ones = [await environment.connect_client() for _ in range(most)]
-        assert await unused[0].ends_without_output() and await silent_ones[0].ends_without_output()
+        later_unused = [await environment.connect_client() for _ in range(max_connections)]
+        assert await unused[0].ends_without_output() and await later_unused[0].ends_without_output()
         new_client = await environment.connect_client()
-        assert (await new_client.fetch("look")).status == 200, "rejected, though others could be evicted"
+        assert (
+            await new_client.fetch("look")
+        ).status == 200, "rejected, although unused connections were open"
         assert (await used.fetch("look")).status == 200
-        assert len(environment.node.downstream.connections) <= most
+        assert len(environment.node.downstream.connections) <= max_connections
 
 
 @async_test
 async def test_new_connections_do_not_evict_each_other_while_others_are_idle() -> None:
-    """The table is full of idle connections; each new client sends its request a moment after it connects."""
+    """Check that, with a full table of idle connections, new clients have time to send their requests."""
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address), sockets=96) as environment,
     ):
-        most = environment.node.downstream.table.max_connections
-        idle = [await environment.connect_client() for _ in range(most)]
+        max_connections = environment.node.downstream.table.max_connections
+        idle = [await environment.connect_client() for _ in range(max_connections)]
         for client in idle:
             assert (await client.fetch("look")).status == 200
-        new_clients = [await environment.connect_client() for _ in range(most // 2)]
+        new_clients = [await environment.connect_client() for _ in range(max_connections // 2)]
         for client in new_clients:
-            assert (await client.fetch("look")).status == 200, "closed before its request could come"
+            assert (await client.fetch("look")).status == 200, "closed before its request could arrive"
         assert await idle[0].ends_without_output()
-        assert len(environment.node.downstream.connections) <= most
+        assert len(environment.node.downstream.connections) <= max_connections
 
 
 @async_test
@@ -64,18 +66,18 @@
         running_node(row("a", endpoint.address), sockets=64) as environment,
     ):
         replace_policy(environment.node, ignore_events)
-        most = environment.node.downstream.table.max_connections
+        max_connections = environment.node.downstream.table.max_connections
         idle = await environment.connect_client()
         assert (await idle.fetch(target="/ready")).status == 200
-        busy = [await environment.connect_client() for _ in range(most)]
+        busy = [await environment.connect_client() for _ in range(max_connections)]
         assert await idle.ends_without_output(), "the idle connection was not evicted"
         for client in busy:
             client.writer.write(request("look", deadline="5"))
-        await until(lambda: len(environment.node.requests) >= most)
+        await until(lambda: len(environment.node.requests) >= max_connections)
         response = await (await environment.connect_client()).fetch("look")
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0
-        assert len(environment.node.requests) == most
+        assert len(environment.node.requests) == max_connections
         endpoint.release.set()
         for client in busy:
             client.close()
@@ -83,14 +85,14 @@
 
 @async_test
 async def test_connection_with_unread_request_is_not_evicted() -> None:
-    """The request counts as accepted, and the close would reset the connection without a response."""
+    """Check that a request that has arrived unread is answered; a close would reset the connection."""
     async with (
         StubServer([reply("200 OK", b"x")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
         client, connection = await answered_client(environment)
         with client:
-            client.sendall(request("look"))  # and before the loop's next iteration
+            client.sendall(request("look"))  # The event loop cannot read this before the next await.
             assert not environment.node.downstream.table.evict_one(
                 DownstreamConnection(environment.node.downstream)
             )
@@ -108,35 +110,40 @@
     examined: list[DownstreamConnection] = []
     is_evictable = eviction.is_evictable
 
-    def recorded(connection: DownstreamConnection, now: float, unused_grace_s: float) -> bool:
+    def record_and_check(connection: DownstreamConnection, now: float, unused_grace_s: float) -> bool:
         examined.append(connection)
         return is_evictable(connection, now, unused_grace_s)
 
-    monkeypatch.setattr("load_balancer.proxy.downstream.connection_table.is_evictable", recorded)
+    monkeypatch.setattr("load_balancer.proxy.downstream.connection_table.is_evictable", record_and_check)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
-        most = environment.node.downstream.table.max_connections
+        max_connections = environment.node.downstream.table.max_connections
         incomplete = EvictionPriority.REQUEST_INCOMPLETE
-        clients = [await environment.connect_client() for _ in range(most)]
+        clients = [await environment.connect_client() for _ in range(max_connections)]
         for client in clients:
-            client.writer.write(request("look")[:30])  # none of them may be evicted yet
-        await until(lambda: environment.node.downstream.table.eviction_queues.count(incomplete) == most)
+            client.writer.write(request("look")[:30])  # The incomplete request prevents eviction at first.
+        await until(
+            lambda: environment.node.downstream.table.eviction_queues.count(incomplete) == max_connections
+        )
         examined.clear()
         new_client = await environment.connect_client()
-        await until(lambda: len(environment.node.downstream.connections) == most + 1)
+        await until(lambda: len(environment.node.downstream.connections) == max_connections + 1)
         assert 0 < len(examined) <= 4 * SCAN_LIMIT
         for client in clients:
             client.close()
         new_client.close()
         await until(lambda: not environment.node.downstream.connections)
-        assert not environment.node.downstream.table.eviction_queues, "a queue holds on to what has gone"
+        assert not environment.node.downstream.table.eviction_queues, "a closed connection is still queued"
 
 
 @async_test
-async def test_connections_beyond_the_table_are_answered() -> None:
-    """With few descriptors a few more connections are answered 503; others wait to be accepted."""
+async def test_connections_over_small_limit_are_answered_or_accepted_later() -> None:
+    """Check that all clients get responses if descriptors are scarce.
+
+    A few connections over the limit are answered 503.  Further connections wait in the backlog.
+    """
     async with (
         StubServer([when_released(reply("200 OK"))]) as endpoint,
         running_node(row("a", endpoint.address), sockets=30) as environment,
@@ -152,18 +159,18 @@
 
 
 @async_test
-async def test_new_connections_in_a_small_table_have_time_for_their_requests() -> None:
-    """Their requests are on their way, so none is evicted; the next connection waits to be accepted."""
+async def test_new_connections_in_small_table_have_time_to_send_requests() -> None:
+    """Check that a small table evicts no new connection, but leaves the next one in the backlog."""
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address), sockets=30) as environment,
     ):
         downstream = environment.node.downstream
-        places = downstream.table.max_connections + MIN_OVERFLOW
-        clients = [await environment.connect_client() for _ in range(places)]
-        await until(lambda: len(downstream.connections) == places)
+        capacity = downstream.table.max_connections + MIN_OVERFLOW
+        clients = [await environment.connect_client() for _ in range(capacity)]
+        await until(lambda: len(downstream.connections) == capacity)
         clients.append(await environment.connect_client())
-        for _ in range(20):  # iterations of the loop, in which it is not accepted
+        for _ in range(20):  # event-loop iterations in which the last client is not accepted
             await asyncio.sleep(0)
         for client in clients:
             client.writer.write(request("look"))
--- a/tests/proxy/downstream/test_disconnect_poller.py
+++ b/tests/proxy/downstream/test_disconnect_poller.py
@@ -1,4 +1,4 @@
-"""Clients that leave while their connections are not read."""
+"""Tests of the detection of clients that leave while their connections are not read."""
 
 from __future__ import annotations
 
@@ -27,10 +27,13 @@
     "leave", [Client.close, _reset, lambda client: client.writer.write_eof()], ids=["close", "reset", "eof"]
 )
 @async_test
-async def test_client_that_leaves_while_reading_is_paused_is_noticed(
+async def test_client_that_leaves_while_reading_is_paused_is_detected(
     leave: Callable[[Client], None],
 ) -> None:
-    """Two responses are due, a third request lies unread, and the client's end lies behind that."""
+    """Check that a client is found to have left although a third, unread request precedes its close.
+
+    Two responses are due, so the node does not read the connection.
+    """
     async with (
         StubServer([when_released(reply("200 OK"))]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
@@ -48,5 +51,5 @@
         endpoint.release.set()
         await until(lambda: not environment.node.requests.attempts_in_flight)
         assert (await (await environment.connect_client()).fetch("look")).status == 200
-        assert len(endpoint.received) == PAUSE_READING_AT + 1, "what nobody waited for was forwarded"
+        assert len(endpoint.received) == PAUSE_READING_AT + 1, "forwarded after the client had left"
         assert not environment.node.downstream.disconnect_poller.connections
--- a/tests/proxy/downstream/test_listener.py
+++ b/tests/proxy/downstream/test_listener.py
@@ -1,4 +1,4 @@
-"""Connections that cannot be accepted for a moment."""
+"""Tests of connections that cannot be accepted when they arrive."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @contextlib.contextmanager
 def _no_free_descriptor() -> Iterator[None]:
-    """Let the process open no further descriptor, as if the system's table were full."""
+    """Prevent the process from opening file descriptors, as if the system's descriptor table were full."""
     lowest_free = os.dup(0)
     os.close(lowest_free)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -29,16 +29,19 @@
 
 
 @async_test
-async def test_client_that_cannot_be_accepted_for_a_moment_is_served_after_it() -> None:
-    """The operating system has accepted its connection: a close would reset it with its request unread."""
+async def test_client_is_served_after_descriptor_shortage() -> None:
+    """Check that the node leaves a connection in the backlog while it has no free descriptor.
+
+    The operating system has already accepted the connection.  A close would reset it with its request unread.
+    """
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
-        warm = await environment.connect_client()
-        assert (await warm.fetch("look")).status == 200
+        other_client = await environment.connect_client()
+        assert (await other_client.fetch("look")).status == 200
         with blocking_client(environment.address) as client:
             with _no_free_descriptor():
-                for _ in range(20):  # iterations of the loop
+                for _ in range(20):  # event-loop iterations
                     await asyncio.sleep(0)
             assert b"200 OK" in await asyncio.wait_for(asyncio.to_thread(client.recv, 4096), TIMEOUT_S)
