--- a/load_balancer/proxy/downstream/request_router.py
+++ b/load_balancer/proxy/downstream/request_router.py
@@ -1,4 +1,4 @@
-"""Routes complete requests: readiness checks are answered here, requests for the servers are handed on."""
+"""Routing of complete requests: readiness checks are answered, and requests under /api are passed on."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 from load_balancer.proxy.downstream.response_slot import ResponseSlot
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError
 
-OVERLOAD_RETRY_AFTER_S = 0.5
+OVERLOAD_RETRY_AFTER_S = 0.5  # the Retry-After value of requests that are rejected for lack of capacity
 
 AcceptRequest = Callable[[ParsedRequest, ResponseSlot], None]
+"""Takes over a valid request, which will be answered through its response slot."""
 
 
 class RequestRouter:
-    """Takes each request by its path, and bounds the memory for the bodies of open requests.
+    """Handles each request by its path, and limits the memory for the bodies of open requests.
 
     Attributes:
-        max_body_bytes: the bodies of open requests may have this size together.
+        max_body_bytes: the limit for the total size of the bodies of open requests.
     """
 
     def __init__(
@@ -28,14 +29,14 @@
         is_over_limit: Callable[[], bool],
         max_body_bytes: int,
     ) -> None:
-        """Begin with no open body.
+        """Initialize the router without open requests.
 
         Args:
-            parser: checks requests for the servers.
-            accept_request: takes a valid request for the servers.
-            is_ready: whether readiness checks succeed.
-            is_over_limit: whether there are too many connections, so that requests are refused.
-            max_body_bytes: the bodies of open requests may have this size together.
+            parser: parses requests under /api.
+            accept_request: takes over a valid request under /api.
+            is_ready: returns whether readiness checks succeed.
+            is_over_limit: returns whether too many connections are open, so that requests are rejected.
+            max_body_bytes: the limit for the total size of the bodies of open requests.
         """
         self.max_body_bytes = max_body_bytes
         self._parser = parser
@@ -45,22 +46,22 @@
         self._body_bytes = 0
 
     def route(self, message: HttpMessage, slot: ResponseSlot) -> bool:
-        """Take one complete request.
+        """Answer a complete request, or pass it on to be forwarded.
 
         Returns:
-            Whether it is one for the servers.
+            Whether it was a valid request under /api.
 
         Raises:
-            HttpMessageError: the node serves no such request.
+            HttpMessageError: the request is invalid, or the node does not serve its path or method.
         """
         path = message.target.partition(b"?")[0]
         if path == b"/ready":
             if message.method != b"GET":
-                raise HttpMessageError(400, "method")
+                raise HttpMessageError(400, "the method of /ready must be GET")
             slot.respond(200 if self._is_ready() else 503)
             return False
         if path != b"/api" and not path.startswith(b"/api/"):
-            raise HttpMessageError(404, "path")
+            raise HttpMessageError(404, "the path is not served")
         request = self._parser.parse(message, path)
         if self._is_over_limit() or self._body_bytes + len(message.body) > self.max_body_bytes:
             slot.close_after = True
@@ -72,6 +73,6 @@
         return True
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """Count the body of a finished request no longer against the limit."""
+        """Stop counting the body of this slot's request towards the limit for request bodies."""
         self._body_bytes -= slot.body_bytes
         slot.body_bytes = 0
--- a/load_balancer/proxy/downstream/response_queue.py
+++ b/load_balancer/proxy/downstream/response_queue.py
@@ -8,30 +8,30 @@
 
 
 class ResponseQueue(deque[ResponseSlot]):
-    """The slots of the open requests of one connection, in the order of the requests."""
+    """A queue of the slots of one connection's open requests, in the order of the requests."""
 
     __slots__ = ()
 
     def is_last(self, slot: ResponseSlot) -> bool:
-        """Whether no response follows the one in this slot."""
+        """Return whether this slot is the last one in the queue."""
         return bool(self) and self[-1] is slot
 
     def count_unanswered(self) -> int:
-        """How many slots of clients that have not left have no response."""
+        """Return the number of slots that have no response and are not abandoned."""
         return sum(slot.output is None and not slot.abandoned for slot in self)
 
     def abandon_all(self) -> None:
-        """Remove all slots: nobody waits for their responses."""
+        """Remove and abandon all slots, because their responses can no longer be sent."""
         slots = tuple(self)
         self.clear()
         for slot in slots:
             slot.abandon()
 
     def fail_open_requests(self, status: int) -> None:
-        """Answer every open request with this status.
+        """Answer every open request with this status code.
 
-        The last slot holds the response to input that was not acceptable.  It is dropped, as the response
-        before it now has the same status and closes the connection.
+        The last slot holds the response to invalid input.  This slot is removed, because the response before
+        it now has the same status code and closes the connection.
         """
         if self:
             self.pop()
--- a/load_balancer/proxy/downstream/response_slot.py
+++ b/load_balancer/proxy/downstream/response_slot.py
@@ -1,4 +1,4 @@
-"""The slot of the one response to a client's request."""
+"""The slot for the response to a client's request."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class SlotConnection(Protocol):
-    """What a response slot needs of the connection that its request came on.
+    """The interface of a client connection that its response slots use.
 
     Attributes:
-        transport: the connection's transport.
+        transport: the transport of the connection.
     """
 
     transport: ClientTransport
@@ -22,26 +22,29 @@
         """End all requests of the connection and close it."""
 
     def must_close_after(self, slot: ResponseSlot) -> bool:
-        """Whether the connection has to close after the response in this slot."""
+        """Return whether the connection must close after the response in this slot."""
 
     def release_body(self, slot: ResponseSlot) -> None:
-        """Count the body of a finished request no longer against the limit."""
+        """Stop counting the body of this slot's request towards the limit for request bodies."""
 
     def flush(self) -> None:
-        """Send the responses that are due."""
+        """Send the available responses in order, up to the first request that has no response yet."""
 
 
 class ResponseSlot:
-    """Holds the one response to a request until the responses before it on the connection have been sent.
+    """Holds the response to a request until the responses before it on the connection have been sent.
 
     Attributes:
-        close_after: the connection closes after this response.
-        arrived_at_s: the earliest monotonic time at which the request's last byte can have arrived.
-        abandoned: the client left before it was answered.
-        body_bytes: the size of the request's body while the request is open.
-        status: the status of the response, 0 until it is known.
-        output: the response as it goes onto the wire, None until it is known.
-        on_abandoned: called when the client leaves before it was answered.
+        close_after: whether the connection closes after this response.
+        arrived_at_s: the earliest monotonic time, in seconds, at which the last byte of the request can have
+            arrived.
+        abandoned: whether no response can be sent any more, because the client has left or the connection is
+            closing.
+        body_bytes: the size of the request body while it counts towards the limit for request bodies, else 0.
+        status: the status code of the response, or 0 until there is a response.
+        output: the complete response in bytes, or None until there is a response.
+        on_abandoned: called to end the request when the slot is abandoned before there is a response, or
+            when ``fail`` has set the response.
     """
 
     __slots__ = (
@@ -66,22 +69,22 @@
         self.on_abandoned: Callable[[], None] | None = None
 
     def client_has_left(self) -> bool:
-        """Whether the client has left by now, as seen on the socket.
+        """Poll the socket and return whether the client has left.
 
-        The event loop reports this in a later iteration, and not at all while the connection is not read.
-        If the client has left, all requests of the connection end.
+        The event loop would report this only in a later iteration, and not at all while the connection is not
+        read.  If the client has left, this method ends all requests of the connection.
         """
         if not self.abandoned and self._connection.transport.client_has_left():
             self._connection.end_after_client_left()
         return self.abandoned
 
     def respond(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
-        """Send the response, unless the client has left or has had its response.
+        """Set the response, which is sent in order, unless the slot is abandoned or already has a response.
 
         Args:
             status: the status code.
-            body: the content.
-            extra: complete header lines, each with its line end.
+            body: the body.
+            extra: further header lines, each ending with CRLF.
         """
         if self.abandoned or self.output is not None:
             return
@@ -92,7 +95,7 @@
         self._connection.flush()
 
     def fail(self, status: int) -> None:
-        """Send this status if there is no response yet, and end the request."""
+        """Respond with this status code and end the request, unless there already is a response."""
         if self.output is not None:
             return
         on_abandoned = self.on_abandoned
@@ -101,7 +104,7 @@
             on_abandoned()
 
     def abandon(self) -> None:
-        """The client has left: nobody waits for the response."""
+        """Mark the slot as abandoned, and end its request if there is no response yet."""
         self.abandoned = True
         self._connection.release_body(self)
         if self.on_abandoned is not None and self.output is None:
--- a/tests/proxy/downstream/test_request_router.py
+++ b/tests/proxy/downstream/test_request_router.py
@@ -1,4 +1,4 @@
-"""The limit of the bodies of open requests."""
+"""Test of the limit for the total size of the bodies of open requests."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 @async_test
-async def test_bodies_beyond_memory_limit_are_rejected_until_released() -> None:
-    """Clients that send large bodies at the same time must not exceed the memory of the process."""
+async def test_requests_over_total_body_limit_are_rejected_until_body_is_released() -> None:
+    """Check the limit that keeps simultaneous large bodies from exhausting the memory of the process."""
     async with (
         StubServer([silent, reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
