--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -1,4 +1,7 @@
-"""The command python -m load_balancer: runs one node, configured by its environment."""
+"""Implements the command python -m load_balancer, which runs one node.
+
+Environment variables configure the node; NODE_CONFIG names its configuration file.
+"""
 
 from __future__ import annotations
 
@@ -22,23 +25,24 @@
 
 async def _serve(config: NodeConfiguration) -> None:
     node = Node(config)
-    # The present objects exist as long as the node: exclude them from garbage collection.
+    # The objects that exist now live as long as the node, so exclude them from garbage collection.
     gc.freeze()
     await node.start()
     await node.wait()
-    # The event loop restores the default signal handlers as it closes.  A signal after that would kill the
-    # process before it exits with 0: signals are blocked and stay pending.
+    # The event loop restores the default signal handlers when it closes.  A signal that arrives after that
+    # would kill the process before it exits with 0, so block the signals: they stay pending.
     signal.pthread_sigmask(signal.SIG_BLOCK, _HANDLED_SIGNALS)
 
 
 def main() -> int:
-    """Run one node.
+    """Run one node until it is stopped.
 
     Returns:
-        The exit code: 0 after SIGTERM or SIGINT, 2 for a bad configuration, with one line on standard error.
+        The exit code: 0 after SIGTERM or SIGINT, or 2 if the configuration cannot be used.  Then one line
+        on standard error describes the problem.
     """
-    # The default handler would end the process.  ConfigurationReload.after_start() follows a signal that is
-    # ignored here.
+    # The default action of SIGHUP would end the process.  If a SIGHUP is ignored here,
+    # ConfigurationReload.after_start() applies the changed configuration file later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logging()
     try:
--- a/load_balancer/logging_setup.py
+++ b/load_balancer/logging_setup.py
@@ -1,4 +1,4 @@
-"""The log of a node: lines on standard error, at a limited rate."""
+"""Configures the log of a node: lines on standard error, at a limited rate."""
 
 from __future__ import annotations
 
@@ -13,13 +13,17 @@
 MAX_LINE_BYTES = select.PIPE_BUF
 
 UNLIMITED = {"unlimited": True}
-"""The extra of a line that is exempt from the rate limit, for lines whose rate is limited otherwise."""
+"""The extra argument of a log call whose line is exempt from the rate limit.
+
+It is meant for lines whose rate is limited in another way.
+"""
 
 
 class LogRateLimit(logging.Filter):
-    """A token bucket for log lines; appends the number of suppressed lines to the next line.
+    """Limits the rate of log lines with a token bucket.
 
-    It keeps faulty peers from occupying the node with log lines that they cause.
+    The limit prevents faulty peers from keeping the node busy with the log lines that their errors cause.
+    When lines have been suppressed, the next line that is written states their number.
     """
 
     def __init__(self, lines_per_s: float = LINES_PER_S, burst: float = BURST_LINES) -> None:
@@ -31,7 +35,7 @@
         self._suppressed = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line is to be written."""
+        """Return whether the line may be written, and add the number of suppressed lines to its text."""
         if getattr(record, "unlimited", False):
             return True
         now = time.monotonic()
@@ -49,10 +53,10 @@
 
 
 class NonBlockingHandler(logging.StreamHandler[TextIO]):
-    """Writes lines to a stream without blocking; a line that the stream cannot take now is dropped.
+    """Writes lines to a stream without blocking, and drops a line if the stream is not writable.
 
-    The stream may be a pipe that nobody reads, and the event loop must not wait for a reader.  A pipe that
-    polls as writable takes MAX_LINE_BYTES at once.
+    The stream may be a pipe that no process reads from, and the event loop must not wait for a reader.  A
+    pipe that poll() reports as writable accepts MAX_LINE_BYTES without blocking.
     """
 
     def __init__(self, stream: TextIO) -> None:
@@ -61,12 +65,12 @@
         self._poll.register(stream.fileno(), select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write the line if the stream can take it now."""
+        """Write the line if the stream is writable; drop it otherwise."""
         if self._poll.poll(0):
             super().emit(record)
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line without its line break, truncated to the length that a pipe takes at once."""
+        """Return the line without its line break, truncated so that both together fit in MAX_LINE_BYTES."""
         encoded = super().format(record).encode(errors="replace")
         return encoded[: MAX_LINE_BYTES - 1].decode(errors="ignore")
 
