--- a/load_balancer/proxy/address.py
+++ b/load_balancer/proxy/address.py
@@ -1,4 +1,4 @@
-"""Network addresses in the form of the configuration and the endpoint list, host:port."""
+"""Parses network addresses of the form host:port, as used in the configuration and the endpoint list."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Address(NamedTuple):
-    """Where a process listens."""
+    """The host and the port at which a process listens."""
 
     host: str
     port: int
 
 
 def parse_address(text: str) -> Address:
-    """Read 'host:port'.
+    """Parse an address of the form host:port.
 
     Raises:
-        ValueError: the text is not an address.
+        ValueError: the text does not have this form, or the port is out of range.
     """
     host, _, port_text = text.rpartition(":")
     port = int(port_text)
--- a/load_balancer/proxy/configuration.py
+++ b/load_balancer/proxy/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a node starts with, from its environment and the file that NODE_CONFIG names."""
+"""Loads the configuration of a node from its environment and the file that NODE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 from load_balancer.settings_format import read_settings
 
 _DEFAULT_CONNECTION_IDLE_MS = 15_000.0
-# Fewer descriptors would not suffice for a single request.  Above that the platform decides: a node starts
-# under tight limits.
+# Fewer descriptors would not suffice to serve a single request.  Any higher limit is the platform's choice: a
+# node starts even if the limit is tight.
 _MIN_SOCKETS = 16
 _MIN_MEMORY_MB = 1
 
 
 class Limits(NamedTuple):
-    """What the platform allows one node.
+    """The resource limits that the platform sets for one node.
 
     Attributes:
-        memory_mb: memory in megabytes.
-        sockets: file descriptors.
+        memory_mb: the memory in megabytes.
+        sockets: the number of file descriptors.
     """
 
     memory_mb: int
@@ -53,16 +53,16 @@
     Attributes:
         path: the path of the configuration file, which is read again at SIGHUP.
         name: the node's name in log lines.
-        listen: where the node listens for clients.
-        discovery: where discovery listens.
+        listen: the address at which the node listens for clients.
+        discovery: the address at which discovery listens.
         seed: the seed of the policy's random numbers.
-        limits: what the platform allows.
+        limits: the resource limits that the platform sets.
         settings: the policy's settings.
-        listing_reader: reads endpoint lists with the names that the settings define.
-        cached_listing: the endpoint list at the time at which the file was written, None if it has none.
-        connection_idle_ms: after how many idle milliseconds endpoints close a connection.
-        file_discovery: where discovery listens according to the file, None if the file has no address.
-        file_stamp: identifies the content of the file as it was read.
+        listing_reader: parses endpoint lists, with the names of zones and machine types from the settings.
+        cached_listing: the endpoint list that was written to the file; None if the file contains no list.
+        connection_idle_ms: the idle time in milliseconds after which endpoints close a connection.
+        file_discovery: the address of discovery according to the file; None if the file has no such address.
+        file_stamp: identifies the content of the file that was read.
     """
 
     path: str
@@ -80,13 +80,13 @@
 
 
 def load_configuration(environment: Mapping[str, str]) -> NodeConfiguration:
-    """Read the configuration of this process.
+    """Load the configuration of this process.
 
     Raises:
-        ConfigurationError: something is missing, cannot be read or is out of range.
+        ConfigurationError: a value is missing, cannot be read or is out of range.
     """
     path = read_variable(environment, "NODE_CONFIG")
-    file_stamp = read_file_stamp(path)  # before the file is read: a later write changes the stamp
+    file_stamp = read_file_stamp(path)  # taken before the read, so that a later write is detected
     raw = read_file_with_retries(path)
     raw_settings = read_member(raw, "settings", dict)
     setting_texts = dict(flatten_settings(raw_settings))
@@ -113,9 +113,9 @@
 
 
 def reload_discovery_address(path: str) -> Address:
-    """Where discovery listens according to the present content of the file.
+    """Return the address of discovery in the current content of the configuration file.
 
-    The environment is ignored, as it has the address of the time at which the process was started.
+    The environment is ignored, because its address dates from the time at which the process was started.
 
     Raises:
         ConfigurationError: the file cannot be read or has no address.
@@ -124,7 +124,7 @@
 
 
 def flatten_settings(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Flatten nested JSON into the pairs of path and value that settings are read from."""
+    """Yield nested JSON as pairs of a dotted path and a text, the form that read_settings() takes."""
     if isinstance(value, dict):
         for name, member in value.items():
             yield from flatten_settings(member, f"{path}.{name}" if path else name)
--- a/load_balancer/proxy/configuration_file.py
+++ b/load_balancer/proxy/configuration_file.py
@@ -1,4 +1,4 @@
-"""Reads the file that NODE_CONFIG names, with retries while that may help."""
+"""Reads the file that NODE_CONFIG names, with retries after errors that may be temporary."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 from load_balancer.proxy.configuration_values import ConfigurationError
 
-# The pauses between the reads at a start, of a file that is half written or cannot be opened for a moment.
+# Pauses in seconds between the reads when a node starts: for a file that is half written, and for a file that
+# temporarily cannot be opened or read.
 _HALF_WRITTEN_PAUSES_S = (0.05, 0.1, 0.2, 0.4)
 _TRANSIENT_PAUSES_S = (*_HALF_WRITTEN_PAUSES_S, 0.8, 1.0, 1.0, 1.0)
 _TRANSIENT_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.EAGAIN})
 
 
 class ConfigurationFileError(ConfigurationError):
-    """A configuration file that cannot be read.
+    """Raised if the configuration file cannot be read.
 
     Attributes:
-        retry_pauses_s: the pauses after which reading it again may succeed; empty if retries cannot help.
+        retry_pauses_s: the pauses in seconds before the retries; empty if a retry cannot succeed.
     """
 
     def __init__(self, path: str, error: Exception) -> None:
@@ -35,7 +36,7 @@
 
 
 class FileStamp(NamedTuple):
-    """Identifies the content of a file: a file that is replaced has another stamp."""
+    """Identifies the content of a file: the stamp changes when the file is replaced or written."""
 
     inode: int
     size: int
@@ -43,7 +44,7 @@
 
 
 def read_file_stamp(path: str) -> FileStamp | None:
-    """The present stamp of a file, None if there is no such file."""
+    """Return the current stamp of a file, or None if the file does not exist or is not accessible."""
     try:
         status = os.stat(path)
     except OSError:
@@ -52,10 +53,10 @@
 
 
 def read_file(path: str) -> dict[str, Any]:
-    """Read the file once.
+    """Read the configuration file without retries.
 
     Raises:
-        ConfigurationError: the file cannot be read or holds no JSON object.
+        ConfigurationError: the file cannot be read or does not contain a JSON object.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -63,15 +64,15 @@
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigurationFileError(path, error) from error
     if not isinstance(raw, dict):
-        raise ConfigurationError.within("NODE_CONFIG", f"{path} holds no object")
+        raise ConfigurationError.within("NODE_CONFIG", f"{path} does not contain a JSON object")
     return raw
 
 
 def read_file_with_retries(path: str) -> dict[str, Any]:
-    """Read the file, again after a pause if it is half written or cannot be opened for a moment.
+    """Read the configuration file; retry after a pause if it is half written or temporarily unreadable.
 
     Raises:
-        ConfigurationError: the file cannot be read or holds no JSON object.
+        ConfigurationError: the file cannot be read or does not contain a JSON object.
     """
     retries = 0
     while True:
--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -4,35 +4,40 @@
 
 from typing import NamedTuple
 
-# Not divided: 20 descriptors that the process uses with nothing open, the watch and its successor, and
-# connections that are being accepted or closed.
+# These descriptors are not divided.  The process uses 20 of them when it has no connections.  The others are
+# for the watch of discovery and its successor, and for connections that are being accepted or closed.
 RESERVED_DESCRIPTORS = 28
-DOWNSTREAM_FRACTION = 0.42  # of the remainder
-MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: clients with requests may hold as many connections
-MIN_UPSTREAM_FRACTION = 1 / 3  # of the remainder, under a tight limit
-# Of the limit on downstream connections: this many connections beyond it are accepted, and answered 503 while
-# no connection can be evicted.
+DOWNSTREAM_FRACTION = 0.42  # of the descriptors that are not reserved
+MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: clients with requests may use that many connections
+MIN_UPSTREAM_FRACTION = 1 / 3  # of the descriptors that are not reserved; applies under a tight limit
+# The node accepts this fraction of the limit on downstream connections in addition to the limit.  As long as
+# no connection can be evicted, it answers requests on the additional connections with 503.
 OVERFLOW_FRACTION = 0.1
 MIN_OVERFLOW = 2
 
 
 class DescriptorShares(NamedTuple):
-    """How many connections each side of the node may have open."""
+    """The maximum numbers of open connections.
+
+    Attributes:
+        downstream: the maximum number of connections to clients.
+        upstream: the maximum number of connections to endpoints.
+    """
 
     downstream: int
     upstream: int
 
 
 def overflow_of(downstream: int) -> int:
-    """How many connections beyond the limit are accepted, to be answered 503."""
+    """Return how many connections are accepted in addition to the limit on downstream connections."""
     return max(MIN_OVERFLOW, int(OVERFLOW_FRACTION * downstream))
 
 
 def divide_descriptors(limit: int) -> DescriptorShares:
-    """Divide the limit so that neither side can use up the descriptors of the other or of discovery."""
+    """Divide the limit so that neither side can use up the descriptors of the other side or of discovery."""
     remainder = limit - RESERVED_DESCRIPTORS
-    wanted = max(DOWNSTREAM_FRACTION * remainder, MIN_DOWNSTREAM_FRACTION * limit)
-    bound = (1.0 - MIN_UPSTREAM_FRACTION) * remainder / (1.0 + OVERFLOW_FRACTION)
-    downstream = max(1, int(min(wanted, bound)))
+    preferred = max(DOWNSTREAM_FRACTION * remainder, MIN_DOWNSTREAM_FRACTION * limit)
+    highest = (1.0 - MIN_UPSTREAM_FRACTION) * remainder / (1.0 + OVERFLOW_FRACTION)
+    downstream = max(1, int(min(preferred, highest)))
     upstream = max(1, int(remainder - downstream * (1.0 + OVERFLOW_FRACTION)))
     return DescriptorShares(downstream, upstream)
