--- a/load_balancer/proxy/__init__.py
+++ b/load_balancer/proxy/__init__.py
@@ -1,15 +1,15 @@
-"""The real node: connects the policy to sockets and decides nothing itself.
+"""A node that serves real traffic: connects the policy to sockets and leaves all decisions to the policy.
 
-The core consists of the modules in this folder.  Each imports only those above it:
+The core consists of the modules in this folder.  In this list, each module imports only modules above it:
 
-- address, descriptors: network addresses and the shares of the descriptor limit
-- configuration_values, configuration_file, configuration: the configuration at the start
-- request_guard, request_table: the last check and the open requests
-- policy_driver: hands events to the policy and its actions to an ActionHandler
-- request_handler: a request from its acceptance to its one response
-- attempts, endpoint_updates: the attempts of requests and the changes of the endpoint list
+- address, descriptors: network addresses and the division of the descriptor limit
+- configuration_values, configuration_file, configuration: the configuration that a node starts with
+- request_guard, request_table: the last check before an attempt is written, and the table of open requests
+- policy_driver: passes events to the policy and its actions to an ActionHandler
+- request_handler: handles a request from its acceptance until its single response
+- attempts, endpoint_updates: sends the attempts of requests and applies changes of the endpoint list
 - action_dispatcher: the ActionHandler of a node
-- node: composes the parts
+- node: creates the parts and connects them
 
-The packages below it are named after what they connect to.  Each docstring says what the package may import.
+The docstring of each subpackage says which other parts of the proxy the subpackage may import.
 """
--- a/load_balancer/proxy/action_dispatcher.py
+++ b/load_balancer/proxy/action_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands each action of the policy to the part of the node that carries it out."""
+"""Passes each action of the policy to the part of the node that carries it out."""
 
 from __future__ import annotations
 
@@ -72,9 +72,9 @@
                 log.info("%s", action)
 
     def fail_request(self, request_id: RequestId) -> None:
-        """Answer a request with 500, as a fault concerns it."""
+        """Answer a request with 500 because handling one of its events or actions failed."""
         self._requests.respond_fault(request_id)
 
     def on_events_handled(self) -> None:
-        """Forget the finished requests, as the policy knows of their end by now."""
+        """Forget the finished requests, because the policy has been told by now that they have ended."""
         self._table.forget_finished()
--- a/load_balancer/proxy/attempts.py
+++ b/load_balancer/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""Starts the attempts of requests, checks each right before it is written, and reports its outcome."""
+"""Starts the attempts of requests, checks each of them right before it is written, and reports outcomes."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
         self._request = request
 
     def render(self, seconds_left: float) -> bytes:
-        """The client's request with the time that the endpoint has left for it."""
+        """Return the bytes of the client's request, with the seconds that are left for it in X-Deadline."""
         request = self._request
         return b"%sX-Deadline: %.3f\r\n\r\n%s" % (request.head, seconds_left, request.message.body)
 
     def is_wanted(self) -> bool:
-        """Whether the client is still connected."""
+        """Return whether the client is still connected."""
         return not self._request.slot.client_has_left()
 
     def may_write(self) -> bool:
-        """Whether the last check allows the attempt; one that it allows is recorded as written."""
+        """Return whether the last check allows the attempt, and record the attempt as written if so."""
         return self._sender.may_write(self._attempt, self._request)
 
     def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
-        """Report the outcome to the sender."""
+        """Report the outcome to the AttemptSender."""
         self._sender.on_attempt_ended(self._attempt, self._request, outcome, response)
 
 
@@ -56,7 +56,7 @@
         counters: NodeCounters,
         rules: RuleMonitor,
     ) -> None:
-        """Connect the parts.
+        """Create a sender that uses these parts of the node.
 
         Args:
             table: the open requests and the attempts in flight.
@@ -64,8 +64,8 @@
             pools: the connections to endpoints.
             driver: receives the events.
             clock: the node's clock.
-            counters: counts written and withheld attempts and outcomes.
-            rules: records attempts that the last check has stopped.
+            counters: counts the outcomes of attempts and the attempts that are written or withheld.
+            rules: records the rule violations that the last check prevents.
         """
         self._table = table
         self._requests = requests
@@ -76,7 +76,11 @@
         self._rules = rules
 
     def send(self, action: SendAttempt) -> None:
-        """Start an attempt.  It ends as NOT_SENT if the request has finished or has no time left."""
+        """Start an attempt.
+
+        The attempt ends at once with NOT_SENT if the request has finished, its client has left, or no time is
+        left for it.
+        """
         request = self._table.get(action.request_id)
         if request is None or request.slot.client_has_left():
             self._skip(action)
@@ -98,7 +102,10 @@
             attempt.cancel(Outcome.CANCELLED)
 
     def _skip(self, action: SendAttempt) -> None:
-        """Do not start an attempt of a finished request; the policy does not know of the end yet."""
+        """Report an attempt of a finished request as not sent.
+
+        The policy has decided on the attempt before it was told that the request has ended.
+        """
         request = self._table.finished(action.request_id)
         number = request.attempt_count
         request.attempt_count += 1
@@ -127,7 +134,8 @@
         if attempt.request_id not in self._table:
             rule = Rule.FINISHED
         if rule is Rule.OUTSIDE_WINDOW:
-            # No fault of the policy: the connection came up too late, delayed on the node's own machine.
+            # This is not a fault of the policy: a delay on the node's own machine let the connection be
+            # established only after the end of the deduplication window.
             self._counters.withheld += 1
             return False
         if rule is not None or endpoint is None:
@@ -141,7 +149,7 @@
     def on_attempt_ended(
         self, attempt: Attempt, request: PendingRequest, outcome: Outcome, response: HttpMessage | None
     ) -> None:
-        """Send the response if it is the first one, and report the outcome to the policy."""
+        """Send the response to the client if the request is open, and report the outcome to the policy."""
         self._counters.outcomes[outcome] += 1
         request.guard.record_outcome(attempt.number, outcome)
         self._table.release(request.client_id)
@@ -156,5 +164,6 @@
             AttemptEnded(request_id, attempt.number, attempt.endpoint_id, outcome, elapsed_ms, finished)
         )
         if served is not None:
-            # After the event, so that the policy sees the outcome that ended the request before the others.
+            # This follows the event, so that the policy sees the outcome that ended the request before the
+            # outcomes of the attempts that are withdrawn.
             self._requests.withdraw_unsent(request_id, served)
--- a/load_balancer/proxy/endpoint_updates.py
+++ b/load_balancer/proxy/endpoint_updates.py
@@ -9,14 +9,14 @@
 
 
 class EndpointUpdates:
-    """Applies what discovery reports: first to the pools, then to the policy."""
+    """Applies the endpoint lists of discovery, first to the pools and then to the policy."""
 
     def __init__(self, pools: UpstreamPools, driver: PolicyDriver) -> None:
         self._pools = pools
         self._driver = driver
 
     def apply_cached(self, listing: EndpointListing) -> None:
-        """Apply the cached list that the node starts with."""
+        """Apply the cached list with which the node starts."""
         self._apply(listing, cached=True)
 
     def apply(self, listing: EndpointListing) -> None:
