--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -1,4 +1,4 @@
-"""One real node: composes its parts, starts and stops them."""
+"""A node that serves real traffic: creates and connects its parts, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -32,17 +32,23 @@
 
 log = logging.getLogger(__name__)
 
-# Of the time between polls of the endpoint list: a poll has failed before the next one is made.
+# The timeout of a poll, as a fraction of the time between polls of the endpoint list, so that a poll without
+# a response fails before the next poll starts.
 POLL_TIMEOUT_FRACTION = 0.4
-# Of the memory, for the bodies of open requests; buffers may take as much again.
+# The fraction of the memory limit that the bodies of open requests may use; buffers may use as much again.
 BODY_MEMORY_FRACTION = 0.25
 
 
 class Node:
-    """One real node."""
+    """A node that serves real traffic."""
 
     def __init__(self, config: NodeConfiguration, policy: Policy | None = None) -> None:
-        """Connect the parts; a given policy replaces the usual Balancer."""
+        """Create and connect the parts of the node.
+
+        Args:
+            config: the configuration of the node.
+            policy: makes the decisions; a Balancer if it is None.
+        """
         settings = config.settings
         self._config = config
         policy = Balancer(settings, config.seed) if policy is None else policy
@@ -128,7 +134,7 @@
             max_body_bytes=int(BODY_MEMORY_FRACTION * self._config.limits.memory_mb * 1_000_000),
         )
 
-    # The parts of the node, for inspection.
+    # Access to the parts of the node.
 
     @property
     def config(self) -> NodeConfiguration:
@@ -137,7 +143,7 @@
 
     @property
     def policy(self) -> Policy:
-        """Makes the decisions."""
+        """The policy, which makes the decisions."""
         return self._driver.policy
 
     @property
@@ -157,29 +163,29 @@
 
     @property
     def shutdown(self) -> GracefulShutdown:
-        """Stops the node after SIGTERM."""
+        """The graceful shutdown, which stops the node after SIGTERM."""
         return self._shutdown
 
     @property
     def counters(self) -> NodeCounters:
-        """Counts what the node has done since its start."""
+        """The counters of what the node has done since its start."""
         return self._counters
 
     @property
     def rules(self) -> RuleMonitor:
-        """Records violations of rules."""
+        """The record of rule violations."""
         return self._rules
 
     # Lifecycle.
 
     async def start(self) -> tuple[str, int]:
-        """Start all parts and listen.
+        """Start all parts of the node and listen for clients.
 
         Returns:
-            The address that was bound.
+            The host and the port at which the node listens.
 
         Raises:
-            OSError: the address cannot be used.
+            OSError: the node cannot listen at the configured address.
         """
         handle_signals(self.terminate, self.reload)
         cached = self._config.cached_listing
@@ -197,18 +203,18 @@
         await self._stopped.wait()
 
     def terminate(self) -> None:
-        """Begin the graceful shutdown, at SIGTERM or SIGINT; has no effect when it has begun."""
+        """Begin the graceful shutdown, after SIGTERM or SIGINT; do nothing if it has already begun."""
         if self._shutdown.in_progress:
             return
         log.info("shutdown_started open_requests=%d", len(self._table))
         self._shutdown.begin()
 
     def reload(self) -> None:
-        """Read the configuration file again, at SIGHUP."""
+        """Read the configuration file again, after SIGHUP."""
         self._reload.request()
 
     def stop(self) -> None:
-        """Stop now, with requests open or not; input that this iteration still brings is not read."""
+        """Stop at once, even if requests are open, without reading the input of this event-loop iteration."""
         self._shutdown.cancel()
         self._driver.cancel_timers()
         self._reload.cancel()
@@ -219,5 +225,5 @@
         self._stopped.set()
 
     def handle_event(self, event: Event) -> None:
-        """Hand an event to the policy and carry out the actions that follow."""
+        """Pass an event to the policy and carry out the resulting actions."""
         self._driver.handle_event(event)
--- a/load_balancer/proxy/policy_driver.py
+++ b/load_balancer/proxy/policy_driver.py
@@ -1,8 +1,8 @@
-"""Drives the policy: events in, actions out, one event at a time.
+"""Passes events to the policy one at a time, and passes its actions to an ActionHandler.
 
-The policy decides everything and does no I/O.  The driver hands it each event with the time of the node's
-clock, and hands its actions to an ActionHandler in order.  A fault of the policy or of one action is
-contained: it fails the request that it concerns and no other.
+The policy makes all decisions and does no I/O.  The driver passes each event with the time of the node's
+clock to the policy, and passes the resulting actions to the ActionHandler in order.  If the policy or an
+action raises an exception, only the request of that event or action fails.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 
 class Policy(Protocol):
-    """Makes the decisions."""
+    """Decides which actions follow from events."""
 
     def handle(self, event: Event, now: float, /) -> list[Action]:
-        """The actions that follow from one event; now is in milliseconds on the node's clock."""
+        """Return the actions that follow from one event; now is in milliseconds on the node's clock."""
 
 
 class ActionHandler(Protocol):
     """Carries out the actions of the policy."""
 
     def handle_action(self, action: Action) -> None:
-        """Carry out one action; it may cause further events."""
+        """Carry out one action, which may cause further events."""
 
     def fail_request(self, request_id: RequestId) -> None:
-        """Fail a request that a fault of the policy or of an action concerns."""
+        """Fail a request because the policy or an action raised an exception for it."""
 
     def on_events_handled(self) -> None:
-        """Called when the policy has handled every event, also after a fault."""
+        """Clean up after the policy has handled all queued events, whether or not it raised an exception."""
 
 
 class PolicyDriver:
@@ -45,7 +45,8 @@
 
     Attributes:
         policy: makes the decisions.
-        is_deciding: whether an event is being handled, so that the policy may not have seen later ones yet.
+        is_deciding: whether an event is being handled; events that are reported meanwhile are queued, so the
+            policy may not have seen them yet.
     """
 
     def __init__(self, policy: Policy, clock: Clock, iterations: LoopIterations) -> None:
@@ -55,17 +56,18 @@
         self._iterations = iterations
         self._events: deque[Event] = deque()
         self._timers = TimerGroup()
-        self._handler: ActionHandler  # set by connect(), as the handler's parts report events to this driver
+        # Set by connect() and not here, because the parts of the handler need this driver to be created.
+        self._handler: ActionHandler
 
     def connect(self, handler: ActionHandler) -> None:
-        """Set what carries out the actions; to be called once, before the first event."""
+        """Set the handler that carries out the actions; call this method once, before the first event."""
         self._handler = handler
 
     def handle_event(self, event: Event) -> None:
-        """Hand an event to the policy and carry out the actions that follow.
+        """Pass an event to the policy and carry out the resulting actions.
 
         An action may cause further events.  These are queued until the policy has returned and its actions
-        are carried out, as the policy's state is consistent only between two decisions.
+        have been carried out, because the policy's state is consistent only between two decisions.
         """
         self._events.append(event)
         if self.is_deciding:
@@ -80,12 +82,12 @@
             self._handler.on_events_handled()
 
     def set_timer(self, action: SetTimer) -> None:
-        """Hand a TimerFired to the policy at the time that it has asked for."""
+        """Pass a TimerFired event to the policy at the time that the action states."""
         delay_s = max(0.0, action.at_ms - self._clock.now()) / 1000.0
         self._timers.call_later(delay_s, self.handle_event, TimerFired(action.token))
 
     def cancel_timers(self) -> None:
-        """Cancel all timers of the policy: the node has stopped."""
+        """Cancel all timers of the policy, because the node has stopped."""
         self._timers.cancel_all()
 
     def _decide(self, event: Event) -> None:
