--- a/load_balancer/proxy/request_guard.py
+++ b/load_balancer/proxy/request_guard.py
@@ -1,8 +1,9 @@
 """The last check before an attempt is written or a request is rejected.
 
-The policy decides by its own records.  The guard keeps an independent record where the bytes leave the
-node: which attempts were written and how they ended.  If the two disagree, one of them has a fault.  The
-caller then withholds the attempt, or fails the request instead of rejecting it, and reports the violation.
+The policy decides by its own records.  Right before bytes are sent, the guard checks the decision against an
+independent record of which attempts were written and how they ended.  If the record does not allow the
+decision, either the policy or the guard has a fault.  The caller then does not write the attempt, or it fails
+the request instead of rejecting it, and it reports the violation.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
     """An attempt that was written to an endpoint.
 
     Attributes:
-        endpoint: the endpoint's row in the endpoint list at the time of the write.
-        written_ms: time of the write on the node's clock.
+        endpoint: the endpoint as it was listed at the time of the write.
+        written_ms: the time of the write, in milliseconds on the node's clock.
         outcome: how the attempt ended; None while it is in flight.
     """
 
@@ -29,12 +30,12 @@
         self.outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
-        """Whether the endpoint may have executed the attempt, or may still execute it."""
+        """Return whether the endpoint may have executed the attempt, or may still execute it."""
         return self.outcome is None or self.outcome not in NOT_EXECUTED
 
 
 class RequestGuard:
-    """Records the written attempts of one request and checks what they still allow."""
+    """Records the written attempts of one request and checks which decisions they still allow."""
 
     def __init__(self, settings: Settings, class_index: int) -> None:
         self._settings = settings
@@ -42,7 +43,15 @@
         self._written: dict[int, WrittenAttempt] = {}
 
     def check_write(self, endpoint: Endpoint | None, now_ms: float) -> Rule | None:
-        """The rule that writing an attempt to this endpoint now would violate; None if there is none."""
+        """Check whether an attempt may be written now.
+
+        Args:
+            endpoint: the endpoint of the attempt; None if it is not listed as serving.
+            now_ms: the current time on the node's clock.
+
+        Returns:
+            The rule that the write would violate, or None if the write is allowed.
+        """
         if endpoint is None:
             return Rule.NOT_SERVING
         if len(self._written) >= self._settings.max_attempts:
@@ -73,16 +82,16 @@
         self._written[number] = WrittenAttempt(endpoint, now_ms)
 
     def record_outcome(self, number: int, outcome: Outcome) -> None:
-        """Record how an attempt ended; one that was not written is ignored."""
+        """Record how an attempt ended; do nothing if the attempt was not written."""
         attempt = self._written.get(number)
         if attempt is not None:
             attempt.outcome = outcome
 
     def may_reject(self) -> bool:
-        """Whether a retry by the client is safe, so that the request may be rejected."""
+        """Return whether the request may be rejected, which requires that a retry by the client is safe."""
         if self._class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        anywhere = self._class.deduplication_scope is DeduplicationScope.ALL
-        if self._class.idempotency is Idempotency.KEYED and anywhere:
+        deduplicated_everywhere = self._class.deduplication_scope is DeduplicationScope.ALL
+        if self._class.idempotency is Idempotency.KEYED and deduplicated_everywhere:
             return True
         return not any(attempt.may_have_run() for attempt in self._written.values())
--- a/load_balancer/proxy/request_handler.py
+++ b/load_balancer/proxy/request_handler.py
@@ -1,4 +1,4 @@
-"""Owns a client's request from its acceptance to its one response."""
+"""Handles a client's request from its acceptance until its single response."""
 
 from __future__ import annotations
 
@@ -24,16 +24,17 @@
 
 log = logging.getLogger(__name__)
 
-# Reserved at the end of a request's budget for the network and a busy processor: the client counts its time
-# from the moment at which it sends.
+# Time at the end of a request's budget that is reserved for delays by the network and a busy processor: the
+# client's deadline counts from the moment at which the client sends the request.
 BUDGET_RESERVE_MS = 25.0
-MAX_RESERVE_FRACTION = 0.2  # of a short budget
-# From the end of the budget to the node's own response, within the reserve; the policy decides before that.
+MAX_RESERVE_FRACTION = 0.2  # the reserve is at most this fraction of the budget
+# If the policy has not ended a request by the end of its budget, the node itself answers the request this
+# much later, which is still within the reserve.
 DEADLINE_TIMER_MS = 10.0
 
 
 class RequestHandler:
-    """Accepts requests, reports them to the policy and sends the one response to each."""
+    """Accepts requests, reports them to the policy and sends one response to each of them."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         rules: RuleMonitor,
         shutdown_deadline: ShutdownDeadline,
     ) -> None:
-        """Connect the parts.
+        """Create a handler that uses these parts of the node.
 
         Args:
             settings: the settings of the node.
@@ -55,8 +56,8 @@
             driver: receives the events.
             clock: the node's clock.
             counters: counts accepted, abandoned and finished requests.
-            rules: records rejections that were not allowed.
-            shutdown_deadline: limits budgets during a shutdown.
+            rules: records the rejections that the last check does not allow.
+            shutdown_deadline: limits the budgets of requests during a shutdown.
         """
         self._settings = settings
         self._host = host
@@ -70,14 +71,14 @@
     # Acceptance.
 
     def accept(self, parsed: ParsedRequest, slot: ResponseSlot) -> None:
-        """Accept a valid request: from here on its client must get one response.
+        """Accept a valid request, whose client must then get exactly one response.
 
         Raises:
             HttpMessageError: a request with the same id is open.
         """
         client_id = parsed.message.headers[REQUEST_ID]
         if self._table.is_reserved(client_id):
-            # An endpoint could not tell the two apart and might answer one with the result of the other.
+            # An endpoint could not distinguish these two requests and might confuse their results.
             raise HttpMessageError(409, "a request with this id is open")
         self._table.reserve(client_id)
         now = self._clock.now()
@@ -99,9 +100,10 @@
         )
 
     def _budget_ms(self, parsed: ParsedRequest, slot: ResponseSlot) -> float:
-        """The time left for a response.
+        """Return the milliseconds that are left for a response.
 
-        The client's time counts from the arrival of the request, which a busy event loop reads late.
+        The client's budget counts from the arrival of the request.  A busy event loop reads the request some
+        time after its arrival.
         """
         elapsed_ms = 1000.0 * (time.monotonic() - slot.arrived_at_s)
         budget_ms = self._shutdown_deadline.limit_budget(parsed.budget_ms - elapsed_ms)
@@ -123,10 +125,10 @@
     def finish_with_response(self, request_id: RequestId, response: HttpMessage) -> PendingRequest | None:
         """Send an endpoint's response to the client.
 
-        The caller reports the attempt's outcome to the policy and calls withdraw_unsent() after that.
+        The caller must report the attempt's outcome to the policy and then call withdraw_unsent().
 
         Returns:
-            The request, None if it had finished before.
+            The request, or None if it had already finished.
         """
         request = self._finish(request_id)
         if request is not None:
@@ -136,7 +138,7 @@
         return request
 
     def reject(self, action: RejectRequest) -> None:
-        """Reject a request: its client may retry it.  If a retry is not safe the request fails instead."""
+        """Reject a request with 503, which allows a retry; fail it with 502 if a retry is not safe."""
         self._counters.finished[action.reason] += 1
         request = self._table.get(action.request_id)
         if request is not None and not request.guard.may_reject():
@@ -147,7 +149,7 @@
         self._respond(action.request_id, 503, extra=b"Retry-After: %.3f\r\n" % after_s if after_s else b"")
 
     def fail(self, action: FailRequest) -> None:
-        """Fail a request: its client cannot know whether it was executed."""
+        """Fail a request with 502, which does not tell its client whether the request was executed."""
         self._counters.finished[action.reason] += 1
         self._respond(action.request_id, 502)
 
@@ -169,7 +171,7 @@
             self.withdraw_unsent(request_id, request)
 
     def _on_deadline(self, request_id: RequestId) -> None:
-        """Answer within the client's time a request that the policy has left unanswered."""
+        """Answer a request that the policy has not answered in time, before the client's deadline."""
         log.error("response_deadline_missed request=%d", request_id)
         self.respond_fault(request_id)
 
@@ -184,18 +186,19 @@
             self.withdraw_unsent(request_id, request)
 
     def _finish(self, request_id: RequestId) -> PendingRequest | None:
-        """Take a request out of the table; None if it has finished before.
+        """Remove a request from the table and return it, or return None if it has already finished.
 
-        During a decision the policy may not know of the end yet and may still start an attempt.  The table
-        remembers the request for that case.
+        While the policy decides, it may not have been told yet that the request has ended, and may still
+        start an attempt.  The table remembers the request for that case.
         """
         return self._table.finish(request_id, remember=self._driver.is_deciding)
 
     def withdraw_unsent(self, request_id: RequestId, request: PendingRequest) -> None:
         """Cancel the attempts of a finished request that have not been written.
 
-        This is allowed where the settings forbid the policy to cancel attempts, as no endpoint has received
-        these.  A connection that was being opened for one may still come up and is kept for other requests.
+        This is allowed even if the settings forbid the policy to cancel attempts, because no endpoint has
+        received these attempts.  If a connection is being opened for a withdrawn attempt, the connection is
+        kept for other requests once it is established.
         """
         for attempt in self._table.attempts_of(request_id, request):
             if not attempt.written:
--- a/load_balancer/proxy/request_table.py
+++ b/load_balancer/proxy/request_table.py
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request whose client waits for the response.
+    """A request whose client is waiting for the response.
 
     Attributes:
         message: the client's request.
-        slot: receives the response.
-        deadline_ms: when the request must be answered, on the node's clock.
+        slot: holds the response until it is sent to the client.
+        deadline_ms: the time by which the request must be answered, in milliseconds on the node's clock.
         deadline_timer: answers the request if the policy has not done so by its deadline.
-        head: the part of the upstream request head that all attempts share.
+        head: the part of the upstream request's head that is the same for all attempts.
         guard: the last check before an attempt is written or the request is rejected.
-        attempt_count: how many attempts the policy has decided on; numbers the next attempt.
+        attempt_count: how many attempts the policy has decided on, which is also the next attempt's number.
     """
 
     message: HttpMessage
@@ -44,7 +44,14 @@
 
 
 class Attempt(NamedTuple):
-    """One attempt of a request.  The attempts of each request are numbered from 0."""
+    """One attempt of a request.
+
+    Attributes:
+        request_id: the id of the request.
+        number: the number of the attempt among the attempts of its request, counted from 0.
+        endpoint_id: the id of the endpoint of the attempt.
+        started_ms: the time at which the attempt was started, in milliseconds on the node's clock.
+    """
 
     request_id: RequestId
     number: int
@@ -53,7 +60,7 @@
 
 
 class RequestTable:
-    """The open requests, and the attempts in flight of open and of finished requests.
+    """Holds the open requests, and the attempts in flight of open and of finished requests.
 
     A client id is reserved while its request is open or an attempt of it is in flight, so that two requests
     with the same id cannot run at the same time.
@@ -63,7 +70,7 @@
         self._pending: dict[RequestId, PendingRequest] = {}
         self._finished: dict[RequestId, PendingRequest] = {}
         self._attempts: dict[tuple[RequestId, int], UpstreamRequest] = {}
-        self._reserved: dict[bytes, int] = {}  # by client id: open requests and attempts in flight
+        self._reserved: dict[bytes, int] = {}  # open requests and attempts in flight by client id
         self._last_id = 0
 
     def __len__(self) -> int:
@@ -90,7 +97,7 @@
     # Client ids.
 
     def is_reserved(self, client_id: bytes) -> bool:
-        """Whether a request with this client id is open or an attempt of it is in flight."""
+        """Return whether a request with this client id is open or has an attempt in flight."""
         return client_id in self._reserved
 
     def reserve(self, client_id: bytes) -> None:
@@ -98,7 +105,7 @@
         self._reserved[client_id] = self._reserved.get(client_id, 0) + 1
 
     def release(self, client_id: bytes) -> None:
-        """Release one reservation of the client id; the id is free when none is left."""
+        """Release one reservation of the client id, which may be used again when no reservation is left."""
         self._reserved[client_id] -= 1
         if not self._reserved[client_id]:
             del self._reserved[client_id]
@@ -106,7 +113,7 @@
     # Requests.
 
     def next_id(self) -> RequestId:
-        """A new request id."""
+        """Return a new request id."""
         self._last_id += 1
         return self._last_id
 
@@ -115,14 +122,18 @@
         self._pending[request_id] = request
 
     def get(self, request_id: RequestId) -> PendingRequest | None:
-        """The request, None if it has been answered or abandoned."""
+        """Return the request, or None if it has been answered or abandoned."""
         return self._pending.get(request_id)
 
     def finish(self, request_id: RequestId, *, remember: bool) -> PendingRequest | None:
-        """Remove a request; if it is remembered, finished() returns it until forget_finished() is called.
+        """Remove a request and release its client id.
+
+        Args:
+            request_id: the id of the request.
+            remember: whether finished() returns the request until forget_finished() is called.
 
         Returns:
-            The request, None if it has been removed before.
+            The request, or None if it had already been removed.
         """
         request = self._pending.pop(request_id, None)
         if request is not None:
@@ -134,7 +145,7 @@
         return request
 
     def finished(self, request_id: RequestId) -> PendingRequest:
-        """A finished request that is remembered.
+        """Return a finished request that is remembered.
 
         Raises:
             KeyError: the request is not remembered.
@@ -152,7 +163,7 @@
         self._attempts[attempt.request_id, attempt.number] = upstream_request
 
     def get_attempt(self, request_id: RequestId, number: int) -> UpstreamRequest | None:
-        """The attempt in flight, None if it has ended."""
+        """Return the attempt, or None if it is not in flight."""
         return self._attempts.get((request_id, number))
 
     def remove_attempt(self, attempt: Attempt) -> None:
@@ -160,7 +171,7 @@
         self._attempts.pop((attempt.request_id, attempt.number), None)
 
     def attempts_of(self, request_id: RequestId, request: PendingRequest) -> Iterator[UpstreamRequest]:
-        """The attempts of a request that are in flight, by number; they may end during the iteration."""
+        """Yield the attempts in flight of a request, ordered by number; they may end during the iteration."""
         for number in range(request.attempt_count):
             attempt = self.get_attempt(request_id, number)
             if attempt is not None:
