--- a/load_balancer/proxy/event_loop/__init__.py
+++ b/load_balancer/proxy/event_loop/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers on top of the event loop: timers, clock, polling.  Imports nothing else of the proxy."""
+"""Helpers on top of the event loop: timers, clock and polling.  Imports no other part of the proxy."""
--- a/load_balancer/proxy/event_loop/clock.py
+++ b/load_balancer/proxy/event_loop/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a node, on which all times of the policy are."""
+"""The clock of a node, which gives all times that the policy uses."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 class Clock:
     """Unix time in milliseconds, advanced by the monotonic clock.
 
-    It never goes backwards.  It stays comparable with the start times of endpoints when the system's clock is
-    set.
+    The clock never goes backwards.  Even if the system's clock is set, its times remain comparable with the
+    start times of endpoints.
     """
 
     def __init__(self) -> None:
         self._offset_s = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """The present time in milliseconds."""
+        """Return the current time in milliseconds."""
         return 1000.0 * (self._offset_s + time.monotonic())
--- a/load_balancer/proxy/event_loop/loop_iterations.py
+++ b/load_balancer/proxy/event_loop/loop_iterations.py
@@ -1,8 +1,9 @@
-"""Bounds the arrival time of the input that an iteration of the event loop reads.
+"""Determines a lower bound of the arrival time of the input that an event-loop iteration reads.
 
-A client's time counts from the arrival of the last byte of its request.  A busy event loop reads that byte
-late, so a deadline counted from the read would be missed.  The system reports no arrival time.  But the loop
-polls its sockets in every iteration: input that this iteration reads had not arrived at the poll before.
+A client's budget counts from the arrival of the last byte of its request.  A busy event loop reads that byte
+late, so a response that is timed from the read would miss the deadline.  The operating system does not report
+arrival times.  However, the loop polls its sockets in every iteration, so input that an iteration reads
+cannot have arrived before the previous poll.
 """
 
 from __future__ import annotations
@@ -10,11 +11,15 @@
 import asyncio
 import time
 
-IDLE_POLL_S = 0.002  # a poll that took longer has waited for input, which arrived at its end
+# A poll that takes longer than this has waited for input, so the input arrived at the end of the poll.
+IDLE_POLL_S = 0.002
 
 
 class LoopIterations:
-    """Records when the event loop polled its sockets; each iteration that does any work has to be marked."""
+    """Records when the event loop polls its sockets.
+
+    Each iteration that does any work must be marked with mark_activity().
+    """
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -22,7 +27,7 @@
         self._marked = False
 
     def mark_activity(self) -> None:
-        """Mark this iteration as one that does work; to be called before the work, any number of times."""
+        """Mark this iteration as one that does work; call this method before the work, once or more often."""
         if self._marked:
             return
         self._marked = True
@@ -32,11 +37,11 @@
         self._loop.call_soon(self._before_poll)
 
     def earliest_arrival(self) -> float:
-        """The monotonic time, in seconds, before which no input of this iteration can have arrived."""
+        """Return the monotonic time in seconds before which no input of this iteration can have arrived."""
         self.mark_activity()
         return self._earliest_arrival
 
     def _before_poll(self) -> None:
-        """Record the time of the poll, which follows when all ready callbacks have run."""
+        """Record the time of the poll, which starts when all ready callbacks have run."""
         self._marked = False
         self._polled_at = time.monotonic()
--- a/load_balancer/proxy/event_loop/socket_poll.py
+++ b/load_balancer/proxy/event_loop/socket_poll.py
@@ -1,6 +1,6 @@
 """Polls one socket directly.
 
-The event loop reports the same event an iteration later, and not at all while reading is paused.
+The event loop reports the same event one iteration later, and does not report it while reading is paused.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 def poll_socket(descriptor: int, event: int) -> bool:
-    """Whether this event, an error or a hang-up is pending on the descriptor now."""
+    """Return whether this poll event, an error or a hang-up is pending on the descriptor now."""
     poll = select.poll()
     poll.register(descriptor, event)
     return bool(poll.poll(0))
--- a/load_balancer/proxy/event_loop/timer_group.py
+++ b/load_balancer/proxy/event_loop/timer_group.py
@@ -1,4 +1,4 @@
-"""Timers of one owner that are cancelled together."""
+"""Groups the timers of one owner so that they can be cancelled together."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     def call_later(
         self, delay_s: float, callback: Callable[[*Arguments], None], *arguments: *Arguments
     ) -> None:
-        """Call back once after this many seconds, unless all timers are cancelled before."""
+        """Call the callback once after this many seconds, unless cancel_all() is called before."""
         self._last_key += 1
         key = self._last_key
 
