--- a/load_balancer/proxy/observability/__init__.py
+++ b/load_balancer/proxy/observability/__init__.py
@@ -1,4 +1,4 @@
 """Observes a node: counters and the record of rule violations.
 
-Imports the event loop's helpers of the proxy only.
+This package imports no other part of the proxy than the event loop's helpers.
 """
--- a/load_balancer/proxy/observability/counters.py
+++ b/load_balancer/proxy/observability/counters.py
@@ -1,4 +1,4 @@
-"""Counters of a node, reported in a log line from time to time and at the end."""
+"""Counters of a node, which are logged at intervals and when the node stops."""
 
 from __future__ import annotations
 
@@ -23,28 +23,30 @@
 
     IDLE = "idle"
     UNUSED = "unused"
-    """No request for the endpoints came on it."""
+    """The client sent no request for the endpoints on the connection."""
 
     EVICTED = "evicted"
     RESPONSE_UNREAD = "response_unread"
     LAST_RESPONSE = "last_response"
-    """The last response announced it: requested by the client, request invalid, or node draining."""
+    """The last response announced the close: the client had requested it, the request was invalid, or the
+    node was draining.
+    """
 
     DRAINED = "drained"
     STOPPED = "stopped"
 
 
 class NodeCounters:
-    """Counts since the start of the process.
+    """Counts what has happened since the start of the process.
 
     Attributes:
         accepted: requests that were accepted.
         abandoned: accepted requests whose client left before the response.
-        responses: responses by status, readiness checks among them.
+        responses: responses by status, including responses to readiness checks.
         finished: requests that were rejected or failed, by reason.
         written: attempts that were written.
-        withheld: attempts that were not written, as the deduplication window of their key was over.
-        outcomes: ended attempts by outcome.
+        withheld: attempts that were not written because the deduplication window of their key had ended.
+        outcomes: attempts that have ended, by outcome.
         closed: client connections that the node closed, by reason.
     """
 
@@ -59,40 +61,42 @@
         self.closed: Counter[CloseReason] = Counter()
 
     def summary(self, rules: RuleMonitor) -> str:
-        """All counts as the fields of one log line."""
+        """Return all counts as the fields of one log line."""
         fields = {
             "accepted": str(self.accepted),
             "abandoned": str(self.abandoned),
             "written": str(self.written),
             "withheld": str(self.withheld),
-            "responses": _listed({str(status): count for status, count in sorted(self.responses.items())}),
-            "finished": _listed({reason.value: count for reason, count in self.finished.items()}),
-            "outcomes": _listed({outcome.value: count for outcome, count in self.outcomes.items()}),
-            "closed": _listed({reason.value: count for reason, count in self.closed.items()}),
-            "violations": _listed({rule.value: count for rule, count in rules.violations.items()}),
+            "responses": _format_counts(
+                {str(status): count for status, count in sorted(self.responses.items())}
+            ),
+            "finished": _format_counts({reason.value: count for reason, count in self.finished.items()}),
+            "outcomes": _format_counts({outcome.value: count for outcome, count in self.outcomes.items()}),
+            "closed": _format_counts({reason.value: count for reason, count in self.closed.items()}),
+            "violations": _format_counts({rule.value: count for rule, count in rules.violations.items()}),
         }
         return " ".join(f"{name}={value}" for name, value in fields.items())
 
 
-def _listed(counts: Mapping[str, int]) -> str:
+def _format_counts(counts: Mapping[str, int]) -> str:
     return ",".join(f"{name}:{count}" for name, count in counts.items()) or "-"
 
 
 class CounterReport:
-    """Logs the counters at intervals if they have changed, and at the end."""
+    """Logs the counters at intervals and when the node stops, in each case only if they have changed."""
 
     def __init__(self, counters: NodeCounters, rules: RuleMonitor) -> None:
         self._counters = counters
         self._rules = rules
         self._timers = TimerGroup()
-        self._last = ""
+        self._last_summary = ""
 
     def start(self) -> None:
-        """Start to log."""
+        """Start to log the counters at intervals."""
         self._timers.call_later(REPORT_INTERVAL_S, self._report)
 
     def stop(self) -> None:
-        """Log the final counts."""
+        """Stop logging at intervals, and log the final counts."""
         self._timers.cancel_all()
         self._log()
 
@@ -102,6 +106,6 @@
 
     def _log(self) -> None:
         summary = self._counters.summary(self._rules)
-        if summary != self._last:
-            self._last = summary
+        if summary != self._last_summary:
+            self._last_summary = summary
             log.info("counters_reported %s", summary, extra=UNLIMITED)
--- a/load_balancer/proxy/observability/rule_monitor.py
+++ b/load_balancer/proxy/observability/rule_monitor.py
@@ -1,4 +1,4 @@
-"""The record of rule violations: which rule was violated, how often, and one log line for each violation."""
+"""Records rule violations: counts them for each rule and logs a line for each violation."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Rule(Enum):
-    """A rule that the node must not violate, named by the violation."""
+    """A rule that the node must not violate; each member is named after its violation."""
 
     REPEATED = "repeated"
-    """A non-idempotent request may have run already."""
+    """The attempt would repeat a non-idempotent request that may already have run."""
 
     OUTSIDE_WINDOW = "outside_window"
     """The deduplication window of the idempotency key is over."""
@@ -25,16 +25,16 @@
     """An earlier attempt is in flight, and the settings forbid hedging."""
 
     ATTEMPT_LIMIT = "attempt_limit"
-    """The settings allow no more attempts."""
+    """The settings allow no further attempt of the request."""
 
     NOT_SERVING = "not_serving"
     """The endpoint is not listed as serving."""
 
     FINISHED = "finished"
-    """The request has been answered, or its client has left."""
+    """The request has already been answered, or its client has left."""
 
     REJECTED_AFTER_RUN = "rejected_after_run"
-    """A rejection would say that a retry is safe, but the request may have run."""
+    """A rejection would tell the client that a retry is safe, but the request may already have run."""
 
     CLOSED_UNANSWERED = "closed_unanswered"
     """The node closed a connection on which an accepted request was not answered."""
@@ -44,14 +44,14 @@
     """Counts and logs rule violations.
 
     Attributes:
-        violations: how often each rule was violated, or would have been without the last check.
+        violations: how often each rule was violated, or would have been violated without the last check.
     """
 
     def __init__(self) -> None:
         self.violations: Counter[Rule] = Counter()
 
     def report(self, rule: Rule, **fields: object) -> None:
-        """Record one violation; the fields say where it was found."""
+        """Count and log one violation; the fields of the log line say where it was found."""
         self.violations[rule] += 1
         text = " ".join(f"{name}={value}" for name, value in fields.items())
         log.error("invariant_violated rule=%s %s", rule.value, text)
