--- a/load_balancer/proxy/lifecycle/configuration_reload.py
+++ b/load_balancer/proxy/lifecycle/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Follows discovery to the address in the configuration file, at SIGHUP and right after a start."""
+"""Moves discovery to the address in the configuration file, after SIGHUP and right after the start."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 log = logging.getLogger(__name__)
 
-# A file that is being written, or cannot be opened for a moment, becomes readable without a second signal.
+# Reading is retried because a file that is being written or temporarily cannot be opened becomes readable
+# later, without a second signal.
 FIRST_RETRY_S = 0.05
 MAX_RETRY_S = 1.0
 MAX_RETRIES = 12  # about 9 s in all
@@ -27,10 +28,10 @@
         self._timers = TimerGroup()
 
     def after_start(self) -> None:
-        """Follow a SIGHUP that arrived before it was handled; to be called once signals are handled.
+        """Apply a SIGHUP that arrived before the node handled signals; call this once the node handles them.
 
-        The environment has the address of the time at which the process was started.  A file that has another
-        address, or that was replaced after it was read, is newer.
+        The environment contains the address from the time at which the process was started.  A file with a
+        different address, or a file that was replaced after it was read, is newer than the environment.
         """
         config = self._config
         if read_file_stamp(config.path) != config.file_stamp:
@@ -40,12 +41,12 @@
             self._discovery.move(config.file_discovery)
 
     def request(self) -> None:
-        """Read the file now, after SIGHUP; retries for an earlier signal are cancelled."""
+        """Read the file now, after SIGHUP, and cancel the retries for an earlier signal."""
         self._timers.cancel_all()
         self._read(0)
 
     def cancel(self) -> None:
-        """Cancel pending retries: the node has stopped."""
+        """Cancel the pending retries, because the node has stopped."""
         self._timers.cancel_all()
 
     def _read(self, retries: int) -> None:
--- a/load_balancer/proxy/lifecycle/graceful_shutdown.py
+++ b/load_balancer/proxy/lifecycle/graceful_shutdown.py
@@ -11,12 +11,12 @@
 
 MIN_DRAIN_S = 0.6  # clients open new connections for up to 0.4 s after SIGTERM
 QUIET_PERIOD_S = 0.25  # the node stops only if no connection or request has arrived for this long
-DRAIN_CHECK_S = 0.02
+DRAIN_CHECK_S = 0.02  # interval between two checks whether the node is drained
 FLUSH_S = 0.02  # time for the last responses to be sent
 
 
 class GracefulShutdown:
-    """Answers open requests and those that still arrive after SIGTERM, then stops the node.
+    """Answers open requests and requests that still arrive after SIGTERM, then stops the node.
 
     Attributes:
         deadline: the time by which the requests must have been answered.
@@ -42,20 +42,20 @@
         return self.deadline.in_progress
 
     def begin(self) -> None:
-        """Begin the shutdown; to be called once."""
+        """Begin the shutdown; call this method only once."""
         self.deadline.begin()
-        # SIGKILL is near at that time: a failure response is better than none.
+        # SIGKILL follows shortly after this time, and a failure response is better than no response.
         self._timers.call_later(self.deadline.answer_within_s, self._fail_open_requests)
         self._downstream.drain()
         self._timers.call_later(MIN_DRAIN_S, self.check_drained)
 
     def check_drained(self) -> None:
-        """Stop the node if it is drained or its deadline is over; check again later otherwise."""
+        """Stop the node if it is drained or its deadline has passed; otherwise schedule the next check."""
         now = time.monotonic()
         if not self._downstream.is_busy() and now - self._downstream.last_activity >= QUIET_PERIOD_S:
             self._stop()
         elif self.deadline.is_over(now):
-            # A request that arrives from here on could be accepted but not answered.
+            # A request that arrives after this time could be accepted but not answered.
             self._downstream.end_input()
             self._fail_open_requests()
             self._timers.call_later(FLUSH_S, self._stop)
@@ -63,5 +63,5 @@
             self._timers.call_later(DRAIN_CHECK_S, self.check_drained)
 
     def cancel(self) -> None:
-        """Cancel the pending checks: the node has stopped."""
+        """Cancel the pending checks, because the node has stopped."""
         self._timers.cancel_all()
--- a/load_balancer/proxy/lifecycle/readiness.py
+++ b/load_balancer/proxy/lifecycle/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a node can serve requests, for the readiness check."""
+"""Decides whether a node can serve requests, for the readiness check."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from load_balancer.proxy.discovery.endpoint_discovery import EndpointDiscovery
 from load_balancer.proxy.upstream.pools import UpstreamPools
 
-# Where an agent pushes lists: how long a started node waits for the first one, as its cached list may be
-# stale.  An agent that is up answers at once.  While discovery is down the cached list is used.
+# If an agent pushes the endpoint lists, a node waits this long after its start for the first list, because
+# its cached list may be stale.  An agent that is running answers at once.  If discovery is down, the node
+# uses the cached list after the wait.
 FIRST_LIST_WAIT_S = 1.0
 
 
 class Readiness:
-    """Whether the node can serve requests."""
+    """Decides whether the node can serve requests."""
 
     def __init__(self, pools: UpstreamPools, discovery: EndpointDiscovery, *, lists_are_pushed: bool) -> None:
         self._pools = pools
@@ -22,7 +23,11 @@
         self._started_at = time.monotonic()
 
     def is_ready(self) -> bool:
-        """Whether an endpoint is listed as serving, in a pushed list unless the wait for one is over."""
+        """Return whether the node knows an endpoint that is listed as serving.
+
+        If an agent pushes the lists, the node is ready only after input from the agent, or after
+        FIRST_LIST_WAIT_S.
+        """
         notified = self._discovery.has_received_input or not self._lists_are_pushed
-        waited = time.monotonic() - self._started_at >= FIRST_LIST_WAIT_S
-        return self._pools.has_endpoints and (notified or waited)
+        wait_is_over = time.monotonic() - self._started_at >= FIRST_LIST_WAIT_S
+        return self._pools.has_endpoints and (notified or wait_is_over)
--- a/load_balancer/proxy/lifecycle/shutdown_deadline.py
+++ b/load_balancer/proxy/lifecycle/shutdown_deadline.py
@@ -4,8 +4,9 @@
 
 import time
 
-# SIGKILL comes KILL_GRACE_S after the longest deadline, counted from SIGTERM; deadlines above
-# MAX_KILL_DEADLINE_S count as that long.  The node answers everything KILL_MARGIN_S earlier.
+# SIGKILL follows SIGTERM after the longest deadline of the request classes plus KILL_GRACE_S; a deadline
+# above MAX_KILL_DEADLINE_S counts as MAX_KILL_DEADLINE_S.  The node answers all requests KILL_MARGIN_S before
+# SIGKILL.
 MAX_KILL_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
 KILL_MARGIN_S = 0.3
@@ -15,7 +16,7 @@
     """The deadline of a shutdown, which starts with SIGTERM.
 
     Attributes:
-        answer_within_s: every request has been answered by this time after SIGTERM.
+        answer_within_s: the seconds after SIGTERM within which every request must have been answered.
     """
 
     def __init__(self, longest_deadline_s: float) -> None:
@@ -28,16 +29,16 @@
         return self._began_at is not None
 
     def begin(self) -> None:
-        """Start the time; to be called once."""
+        """Start to count the time from now; call this method only once."""
         self._began_at = time.monotonic()
 
     def limit_budget(self, budget_ms: float) -> float:
-        """The budget of a request, limited during a shutdown to the time that is left for its response."""
+        """Return a request's budget, limited during a shutdown to the time that is left for its response."""
         if self._began_at is None:
             return budget_ms
         return min(budget_ms, 1000.0 * (self._began_at + self.answer_within_s - time.monotonic()))
 
     def is_over(self, now: float) -> bool:
-        """Whether the shutdown must end at this monotonic time, with requests open or not."""
+        """Return whether the shutdown must end at the monotonic time now, even if requests are open."""
         assert self._began_at is not None
         return now - self._began_at > self.answer_within_s + KILL_MARGIN_S / 2
--- a/load_balancer/proxy/lifecycle/signals.py
+++ b/load_balancer/proxy/lifecycle/signals.py
@@ -8,7 +8,7 @@
 
 
 def handle_signals(terminate: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Call terminate at SIGTERM or SIGINT and reload at SIGHUP, from the running event loop."""
+    """Make the running event loop call terminate at SIGTERM or SIGINT, and reload at SIGHUP."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, terminate)
@@ -18,8 +18,8 @@
 class OncePerIteration:
     """Coalesces requests for a call: the callback runs once, in the next iteration of the event loop.
 
-    The event loop handles pending signals until there are none.  If handling a signal takes longer than the
-    next signal takes to arrive, as reading a file may, no other callback would ever run.
+    The event loop handles pending signals until none is left.  If handling a signal, which may include
+    reading a file, took longer than the next signal takes to arrive, no other callback would ever run.
     """
 
     def __init__(self, callback: Callable[[], None]) -> None:
@@ -28,7 +28,7 @@
         self._loop = asyncio.get_running_loop()
 
     def request(self) -> None:
-        """Request a call; has no effect while one is pending."""
+        """Request a call of the callback; do nothing if a call is already pending."""
         if not self._requested:
             self._requested = True
             self._loop.call_soon(self._call)
