--- a/tests/proxy/async_support.py
+++ b/tests/proxy/async_support.py
@@ -1,4 +1,4 @@
-"""Runs tests on the event loop of the node, and waits for conditions."""
+"""Runs tests on the event loop that a node uses, and waits for conditions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the node runs on."""
+    """Run a test on the event loop that a node uses; fail if it takes more than three times TIMEOUT_S."""
 
     async def bounded() -> None:
         await asyncio.wait_for(main, 3 * TIMEOUT_S)
@@ -26,7 +26,7 @@
 
 
 def async_test(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
-    """Make a coroutine function a test that runs on the loop that the node runs on."""
+    """Turn a coroutine function into a test that runs on the event loop that a node uses."""
 
     @functools.wraps(test)
     def run_test(*args: P.args, **kwargs: P.kwargs) -> None:
@@ -36,7 +36,7 @@
 
 
 async def until(condition: Callable[[], T]) -> T:
-    """Wait until the condition is truthy; returns its value."""
+    """Wait until the condition is truthy, and return its value."""
     while not (value := condition()):
         await asyncio.sleep(0)
     return value
--- a/tests/proxy/blocking_client.py
+++ b/tests/proxy/blocking_client.py
@@ -1,4 +1,4 @@
-"""Clients on blocking sockets, which act while the node's loop is blocked."""
+"""Clients on blocking sockets, which work even while the node's event loop is blocked."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def open_requests(count: int) -> bytes:
-    """Requests that do not end by themselves while a test runs."""
+    """Return requests whose deadline is longer than any test takes."""
     return b"".join(request("book", deadline="600") for _ in range(count))
 
 
 def blocking_client(address: tuple[str, int]) -> socket.socket:
-    """A client that has sent a request; it acts at once, also while the node's loop is blocked."""
+    """Connect a client and send a request; further calls take effect even while the event loop is blocked."""
     client = socket.create_connection(address, timeout=TIMEOUT_S)
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     client.sendall(request("look"))
@@ -26,14 +26,14 @@
 
 
 async def answered_client(environment: NodeEnvironment) -> tuple[socket.socket, DownstreamConnection]:
-    """A blocking client whose request has been answered, and the node's end of its connection."""
+    """Return a blocking client whose request has been answered, and the node's end of its connection."""
     client = blocking_client(environment.address)
     (connection,) = await until(lambda: [c for c in environment.node.downstream.connections if c.answered])
     return client, connection
 
 
 async def read_to_end(client: socket.socket) -> bytes:
-    """Everything that the client receives until its connection ends."""
+    """Return all bytes that the client receives until its connection ends."""
     client.setblocking(False)
     received = b""
     loop = asyncio.get_running_loop()
@@ -46,7 +46,7 @@
 async def connect_with_small_buffers(
     client: socket.socket, environment: NodeEnvironment
 ) -> DownstreamConnection:
-    """Connect so that a long response does not fit the buffers; returns the node's end of the connection."""
+    """Connect with buffers too small for a long response, and return the node's end of the connection."""
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     client.setblocking(False)
     await asyncio.get_running_loop().sock_connect(client, environment.address)
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of sockets."""
+"""Fixtures of the tests of the proxy."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 @pytest.fixture
 def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Idle connections may be used again at once."""
+    """Let idle connections to endpoints be used again at once."""
     monkeypatch.setattr("load_balancer.proxy.upstream.endpoint_pool.REUSE_DELAY_S", 0.0)
--- a/tests/proxy/delayed_connections.py
+++ b/tests/proxy/delayed_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that are established when a test releases them."""
+"""Delays connections to endpoints until a test releases them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class DelayedConnections:
-    """Delays connections to some endpoints until they are released; others are not delayed.
+    """Delays connections to chosen endpoints until they are released; other connections are not delayed.
 
     Attributes:
-        begun: a connection is being delayed.
-        release: set by a test to let all connections be established from now on.
-        opening: how many connections have begun and are neither established nor failed.
+        begun: set when the first connection is delayed.
+        release: set by a test to let the delayed connections and all later connections be established.
+        opening: the number of delayed connections that are neither established nor failed yet.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoints: Iterable[StubServer]) -> None:
@@ -31,7 +31,7 @@
         monkeypatch.setattr(loop, "create_connection", self._delay_connection)
 
     def delay(self, endpoints: Iterable[StubServer]) -> None:
-        """Delay connections to these endpoints, too."""
+        """Delay connections to these endpoints as well."""
         self._delayed.update(endpoint.address for endpoint in endpoints)
 
     async def _delay_connection(self, factory: Any, host: str, port: int, **options: Any) -> Any:
--- a/tests/proxy/http_text.py
+++ b/tests/proxy/http_text.py
@@ -1,4 +1,4 @@
-"""Reads the heads of HTTP messages for the stubs."""
+"""Reads the heads of HTTP messages for stubs and tests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    """Read a start line and its headers; the names of headers are returned in lower case."""
+    """Read the head of a message; return the start line, and the headers by their names in lower case."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.rstrip("\r\n").split("\r\n")
     pairs = (line.split(":", 1) for line in lines)
--- a/tests/proxy/node_environment.py
+++ b/tests/proxy/node_environment.py
@@ -1,4 +1,4 @@
-"""A node between stubs, started in the test's own process."""
+"""Starts a node in the test's own process, connected to stubs."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @dataclass
 class NodeEnvironment:
-    """A running node and its stub of discovery.
+    """A running node and the stub of discovery that it watches.
 
     Attributes:
         node: the node.
-        address: where clients connect.
+        address: the host and port to which clients connect.
         discovery: the stub that the node watches.
-        serving: the task that ends with the node.
+        serving: the task that ends when the node has stopped.
     """
 
     node: Node
@@ -38,11 +38,11 @@
 
     @property
     def endpoint_discovery(self) -> EndpointDiscovery:
-        """The node's own side of discovery."""
+        """The part of the node that communicates with discovery."""
         return self.node.discovery
 
     async def connect_client(self) -> Client:
-        """Open a client's connection to the node."""
+        """Open a connection of a client to the node."""
         return await Client.connect(self.address)
 
 
@@ -54,7 +54,15 @@
     path: str = "",
     **changes: Any,
 ) -> AsyncIterator[NodeEnvironment]:
-    """A node with these endpoints in its cached list, and with changes to the sample settings."""
+    """Run a node until the context ends.
+
+    Args:
+        rows: the endpoints in the node's cached list.
+        sockets: the limit on descriptors.
+        has_cached_list: whether the node starts with a cached list.
+        path: the path of the configuration file, for tests of a reload.
+        changes: changes to the sample settings.
+    """
     listing_reader = ListingReader(("hall",), ("std",))
     async with StubDiscovery() as discovery:
         config = NodeConfiguration(
--- a/tests/proxy/policy_recorder.py
+++ b/tests/proxy/policy_recorder.py
@@ -1,4 +1,4 @@
-"""Observes a node's policy, or takes its place."""
+"""Records what a node's policy sees and decides, or replaces the policy."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 from load_balancer.proxy.node import Node
 
 Handle = Callable[[Event, float], list[Action]]
-"""What a policy does with one event."""
+"""The signature of Policy.handle(), which returns the actions that follow from one event."""
 
 
 def replace_policy(node: Node, handle: Handle) -> Handle:
-    """Have a function decide in place of the node's policy; returns the function that it replaces."""
+    """Let a function make the decisions of the node's policy, and return the function that it replaces."""
     replaced = node.policy.handle
     node.policy.handle = handle  # type: ignore[method-assign]
     return replaced
 
 
 def ignore_events(_: Event, __: float) -> list[Action]:
-    """A policy that never decides anything."""
+    """Handle an event like a policy that never returns an action."""
     return []
 
 
 class PolicyRecorder:
-    """Records the events that a node hands to its policy, and which requests and attempts are open.
+    """Records the events that a node passes to its policy, and which requests and attempts are open.
 
     Attributes:
         events: all events, in order.
         open_requests: the requests that have arrived and have not ended.
         open_attempts: the attempts that the policy has started and whose end was not reported to it.
-        on_attempt: called with each attempt's endpoint before the node starts it.
+        on_attempt: called with the endpoint id of each attempt before the node starts the attempt.
     """
 
     def __init__(self, node: Node) -> None:
--- a/tests/proxy/request_state.py
+++ b/tests/proxy/request_state.py
@@ -1,4 +1,4 @@
-"""The state that a node keeps for requests."""
+"""Checks the state that a node keeps for requests."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def nothing_left(requests: RequestTable) -> bool:
-    """Whether no request is open, no attempt in flight, and no client id reserved."""
+    """Return whether no request is open, no attempt is in flight, and no client id is reserved."""
     return not requests and not requests.attempts_in_flight and not requests.reserved_client_ids
--- a/tests/proxy/sample_settings.py
+++ b/tests/proxy/sample_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a small deployment, as a node's configuration file holds them."""
+"""The settings of a small deployment, in the form of a node's configuration file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings of a small deployment, nested as in a node's configuration file."""
+    """Return the settings of a small deployment with these changes, nested as in the configuration file."""
     return {
         "azs": ["hall"],
         "balancers": 1,
@@ -44,7 +44,7 @@
 
 
 def policy_limits(**changes: Any) -> dict[str, Any]:
-    """The policy's limits with these changes, as a part of the settings."""
+    """Return the part of the settings with the policy's limits, with these changes to the limits."""
     return {"policyLimits": {**settings()["policyLimits"], **changes}}
 
 
--- a/tests/proxy/stub_client.py
+++ b/tests/proxy/stub_client.py
@@ -1,4 +1,4 @@
-"""A client's connection to a node, and the requests that it sends."""
+"""A stub of a client: its connection to a node, and the requests that it sends."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class Response:
-    """A response as a client received it."""
+    """A response in the form in which the client received it."""
 
     status: int
     headers: dict[str, str]
@@ -42,12 +42,12 @@
         return Response(int(first.split(" ")[1]), headers, body)
 
     async def fetch(self, kind: str = "look", **options: Unpack[RequestOptions]) -> Response:
-        """Send a request, built as by request(), and read the response."""
+        """Send a request, which is built by request() from these options, and read the response."""
         self.writer.write(request(kind, **options))
         return await self.read_response()
 
     async def ends_without_output(self) -> bool:
-        """Whether the node closes the connection with no further byte; waits for the close."""
+        """Wait until the node closes the connection; return whether no further byte was received before."""
         with contextlib.suppress(ConnectionError):
             return await asyncio.wait_for(self.reader.read(), TIMEOUT_S) == b""
         return True
@@ -63,7 +63,7 @@
 
 
 class RequestOptions(TypedDict, total=False):
-    """The parts of a request that differ from the defaults of ClientRequest."""
+    """The parts of a request that differ from the defaults of ClientRequest, which documents them."""
 
     target: str
     method: str
@@ -79,12 +79,12 @@
     """A client's request.
 
     Attributes:
-        kind: its class.
-        target: its request target.
-        method: its method; by default the method of its class.
-        body: its body.
-        deadline: the header with the seconds that are left for it.
-        name: its id; by default an unused one.
+        kind: the request class.
+        target: the request target.
+        method: the method; by default the usual method of the request class.
+        body: the body.
+        deadline: the value of X-Deadline, the seconds that are left for a response.
+        name: the request id; by default an id that no other request has.
         drop: the names of headers to leave out.
         extra: further header lines.
     """
@@ -99,7 +99,7 @@
     extra: str = ""
 
     def render(self) -> bytes:
-        """The bytes of the request."""
+        """Return the bytes of the request."""
         method = self.method or _METHODS.get(self.kind, "GET")
         headers = self._headers(method).items()
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers if name not in self.drop)
@@ -121,5 +121,5 @@
 
 
 def request(kind: str = "look", **options: Unpack[RequestOptions]) -> bytes:
-    """The bytes of a client's request."""
+    """Return the bytes of a client's request."""
     return ClientRequest(kind, **options).render()
--- a/tests/proxy/stub_discovery.py
+++ b/tests/proxy/stub_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery on a loopback socket, and the endpoint lists that it sends."""
+"""A stub of discovery on a loopback socket, and the endpoint lists that it sends."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndpointRow(TypedDict):
-    """An endpoint as discovery lists it, by the documented names."""
+    """An endpoint in the form in which discovery lists it, with the documented names."""
 
     instanceId: str
     hostPort: str
@@ -27,7 +27,7 @@
 
 
 class EndpointList(TypedDict):
-    """An endpoint list of discovery, by the documented names; its rows may also be invalid ones."""
+    """An endpoint list of discovery, with the documented names; a test may also include invalid rows."""
 
     generation: int
     reset: bool
@@ -35,7 +35,7 @@
 
 
 def row(name: str, address: str, lifecycle: str = "SERVING", started: float = 0) -> EndpointRow:
-    """A valid endpoint of the test's only zone and machine type."""
+    """Return a valid endpoint with the only zone and the only machine type of the sample settings."""
     return {
         "instanceId": name,
         "hostPort": address,
@@ -49,20 +49,20 @@
 
 
 def listing(generation: int, *rows: Mapping[str, object], reset: bool = True) -> EndpointList:
-    """A complete endpoint list, or with reset False a change to one."""
+    """Return a complete endpoint list or, if reset is False, a list of changes."""
     return {"generation": generation, "reset": reset, "instances": list(rows)}
 
 
 @dataclass
 class StubDiscovery:
-    """Accepts watches and hands them out in the order in which they are opened.
+    """Accepts watches and passes them to the test in the order in which they are opened.
 
     Attributes:
-        address: where it listens.
+        address: the address at which the stub listens, as host:port.
         targets: the request targets of all watches.
         watches: the watches that no test has taken yet.
-        disconnected: a watch has been closed.
-        mute: whether watches are accepted without a response.
+        disconnected: set when a watch has been closed.
+        mute: whether the stub sends no response to a watch request.
     """
 
     address: str = ""
@@ -90,11 +90,11 @@
         self.disconnected.set()
 
     async def watch(self) -> asyncio.StreamWriter:
-        """The next watch that is opened here."""
+        """Wait for the next watch that the node opens, and return it."""
         return await asyncio.wait_for(self.watches.get(), TIMEOUT_S)
 
 
 def send_line(watch: asyncio.StreamWriter, line: Mapping[str, object] | bytes) -> None:
-    """Send one line on a watch, in a chunk of its own: a JSON object, or bytes as they are."""
+    """Send a line on a watch in a separate chunk: an object as JSON, or bytes without a change."""
     text = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
     watch.write(b"%x\r\n%s\r\n" % (len(text), text))
--- a/tests/proxy/stub_server.py
+++ b/tests/proxy/stub_server.py
@@ -1,4 +1,4 @@
-"""An endpoint on a loopback socket whose behaviour a test sets."""
+"""A stub of an endpoint on a loopback socket; a test sets its behaviour."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as an endpoint received it."""
+    """A request in the form in which the endpoint received it."""
 
     method: str
     target: str
@@ -25,11 +25,11 @@
 
 
 Behaviour = Callable[["StubServer", ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
-"""What an endpoint does with one request."""
+"""A function that handles one request in place of an endpoint."""
 
 
 def reply(status: str, body: bytes = b"", extra: str = "") -> Behaviour:
-    """Respond with this status line, body and header lines."""
+    """Return a behaviour that responds with this status line, body and additional header lines."""
 
     async def behave(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         head = f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
@@ -39,7 +39,7 @@
 
 
 def raw(text: bytes, *, close: bool = False, times: int = 1) -> Behaviour:
-    """Write these bytes as they are, the given number of times."""
+    """Return a behaviour that writes these bytes the given number of times, and then may close."""
 
     async def behave(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(text * times)
@@ -50,7 +50,7 @@
 
 
 def when_released(behaviour: Behaviour) -> Behaviour:
-    """Wait until the endpoint's release is set, then behave as given."""
+    """Return a behaviour that waits until the endpoint's release is set and then behaves as given."""
 
     async def behave(server: StubServer, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await server.release.wait()
@@ -60,19 +60,19 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Close with a reset in place of an orderly end."""
+    """Close the connection with a TCP reset instead of an orderly end."""
     with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as connection:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 async def reset(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """Reset the connection."""
+    """Reset the connection instead of sending a response."""
     reset_connection(writer)
 
 
 def then_reset(text: bytes) -> Behaviour:
-    """Write these bytes, then reset the connection."""
+    """Return a behaviour that writes these bytes and then resets the connection."""
 
     async def behave(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(text)
@@ -83,7 +83,7 @@
 
 
 def in_pieces(*pieces: bytes) -> Behaviour:
-    """Write each piece when the endpoint's release is set for it, then close in order."""
+    """Return a behaviour that waits for release before each piece that it writes, and closes at the end."""
 
     async def behave(server: StubServer, _: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         for piece in pieces:
@@ -97,7 +97,7 @@
 
 
 async def silent(server: StubServer, _: ReceivedRequest, __: asyncio.StreamWriter) -> None:
-    """Send no response until the endpoint's release is set, and none after that."""
+    """Send no response; return when the endpoint's release is set."""
     await server.release.wait()
 
 
@@ -110,16 +110,16 @@
 
 @dataclass
 class StubServer:
-    """An endpoint that goes through its behaviours, one for each request; the last one stays.
+    """An endpoint that uses its behaviours in order, one for each request, and then repeats the last one.
 
     Attributes:
-        behaviours: what it does with the requests to come.
-        address: where it listens.
-        received: all requests, in order.
-        release: set by a test to let behaviours go on.
-        request_received: a request has been received.
-        disconnected: a connection has been closed.
-        accepted_connections: how many connections were accepted.
+        behaviours: the behaviours for the next requests, in order.
+        address: the address at which the endpoint listens, as host:port.
+        received: all requests that were received, in order.
+        release: set by a test to let the behaviours that wait for it continue.
+        request_received: set when a request has been received.
+        disconnected: set when a connection has been closed.
+        accepted_connections: the number of connections that were accepted.
         writers: the writing ends of all connections, in the order in which they were accepted.
     """
 
@@ -141,7 +141,7 @@
         self._server.close()
 
     def vanish(self) -> None:
-        """Leave open connections without a response, and refuse new ones."""
+        """Send no more responses on open connections, and refuse new connections."""
         self.behaviours[:] = [silent]
         self._server.close()
 
