--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that race with a client's disconnect, with the request's response, or with a broken connection."""
+"""Tests of attempts that race with a client's disconnect, with a response or with a broken connection."""
 
 from __future__ import annotations
 
@@ -58,37 +58,37 @@
     """The first attempt is answered while the hedged attempt still waits for its connection."""
     limits = policy_limits(cancel=cancel, connectTimeoutMs=1000.0 * TIMEOUT_S, tryLimit=2)
     async with (
-        StubServer([reply("200 OK", extra="Connection: close\r\n")]) as one,
-        StubServer([reply("200 OK", extra="Connection: close\r\n")]) as two,
-        running_node(row("a", one.address), row("b", two.address), **limits) as environment,
+        StubServer([reply("200 OK", extra="Connection: close\r\n")]) as endpoint_a,
+        StubServer([reply("200 OK", extra="Connection: close\r\n")]) as endpoint_b,
+        running_node(row("a", endpoint_a.address), row("b", endpoint_b.address), **limits) as environment,
     ):
         client = await environment.connect_client()
         # This response gives the policy a latency estimate; it hedges attempts that take longer.
         assert (await client.fetch("look")).status == 200
-        warm_up_requests = len(one.received) + len(two.received)
-        one.behaviours[:] = two.behaviours[:] = [when_released(reply("200 OK", b"first"))]
+        warm_up_requests = len(endpoint_a.received) + len(endpoint_b.received)
+        endpoint_a.behaviours[:] = endpoint_b.behaviours[:] = [when_released(reply("200 OK", b"first"))]
         delayed = DelayedConnections(monkeypatch, [])
         recorder = PolicyRecorder(environment.node)
-        others = {b"a": two, b"b": one}
-        recorder.on_attempt = lambda endpoint_id: delayed.delay([others[endpoint_id]])
+        other_endpoints = {b"a": endpoint_b, b"b": endpoint_a}
+        recorder.on_attempt = lambda endpoint_id: delayed.delay([other_endpoints[endpoint_id]])
         client.writer.write(request("look", name="twice", deadline="600"))
         await asyncio.wait_for(delayed.begun.wait(), TIMEOUT_S)
-        await until(lambda: len(one.received) + len(two.received) > warm_up_requests)
-        one.release.set()
-        two.release.set()
+        await until(lambda: len(endpoint_a.received) + len(endpoint_b.received) > warm_up_requests)
+        endpoint_a.release.set()
+        endpoint_b.release.set()
         assert (await client.read_response()).body == b"first"
         delayed.release.set()
         await until(lambda: not delayed.opening)
-        assert recorder.outcomes[0] is Outcome.OK, "the outcome that ended it comes first"
+        assert recorder.outcomes[0] is Outcome.OK, "the outcome that ended the request was not reported first"
         assert len(recorder.outcomes) == 2
-        assert len(one.received) + len(two.received) == warm_up_requests + 1
+        assert len(endpoint_a.received) + len(endpoint_b.received) == warm_up_requests + 1
         assert not environment.node.requests.attempts_in_flight
         assert not environment.node.requests.reserved_client_ids
 
 
 @async_test
-async def test_attempt_is_not_written_after_unread_client_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two open requests pause reading, so that only each attempt's poll finds the disconnect."""
+async def test_attempt_is_not_written_after_client_left_unnoticed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two open requests pause reading, so that only the poll before each attempt detects the disconnect."""
     monkeypatch.setattr(disconnect_poller, "DISCONNECT_CHECK_S", TIMEOUT_S)
     async with (
         StubServer([silent]) as endpoint,
@@ -109,23 +109,23 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.REJECTED])
 @async_test
-async def test_retry_does_not_begin_before_client_end_is_read(outcome: Outcome) -> None:
+async def test_retry_is_not_sent_when_disconnect_is_unread(outcome: Outcome) -> None:
     """The disconnect and an outcome that causes a retry are handled in the same iteration."""
     async with (
-        StubServer([silent]) as one,
-        StubServer([silent]) as two,
-        running_node(row("a", one.address), row("b", two.address)) as environment,
+        StubServer([silent]) as endpoint_a,
+        StubServer([silent]) as endpoint_b,
+        running_node(row("a", endpoint_a.address), row("b", endpoint_b.address)) as environment,
     ):
         recorder = PolicyRecorder(environment.node)
         client = blocking_client(environment.address)
-        await until(lambda: one.received or two.received)
+        await until(lambda: endpoint_a.received or endpoint_b.received)
         client.close()
         (attempt,) = environment.node.requests.attempts_in_flight
         attempt.cancel(outcome)
         assert nothing_left(environment.node.requests)
         assert recorder.events and recorder.nothing_open
         await until(lambda: not environment.node.downstream.connections)
-        assert len(one.received) + len(two.received) == 1
+        assert len(endpoint_a.received) + len(endpoint_b.received) == 1
 
 
 class _QueueingPolicy:
@@ -167,12 +167,12 @@
 
 @async_test
 async def test_half_written_request_is_not_resent() -> None:
-    """Whether its last byte was sent is not known, so it counts as executed."""
-    opened = 0
+    """The node cannot know whether the last byte was sent, so the request may have been executed."""
+    opened_connections = 0
 
     async def break_at_head(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal opened
-        opened += 1
+        nonlocal opened_connections
+        opened_connections += 1
         await read_head(reader)
         writer.transport.abort()
 
@@ -185,12 +185,12 @@
         client = await environment.connect_client()
         response = await client.fetch("book", body=b"x" * 60_000)
         assert response.status == 502
-        assert recorder.outcomes.count(Outcome.RESET) == 1 and opened == 1
+        assert recorder.outcomes.count(Outcome.RESET) == 1 and opened_connections == 1
     server.close()
 
 
 @async_test
-async def test_response_and_client_end_in_one_iteration_leave_nothing_open() -> None:
+async def test_response_and_disconnect_in_one_iteration_leave_nothing_open() -> None:
     """The response and the disconnect are both unread when the next iteration begins."""
     async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         recorder = PolicyRecorder(environment.node)
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a node reads at its start, and errors that name the key at fault."""
+"""Tests of the configuration that a node reads at its start, and of errors that name the invalid key."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 def test_environment_and_file_are_read(tmp_path: Path) -> None:
     configuration = load_configuration(_environment(tmp_path, _configuration()))
-    assert configuration.listen == ("127.0.0.1", 0), "the environment takes precedence over the file"
+    assert configuration.listen == ("127.0.0.1", 0), "the environment did not take precedence over the file"
     assert configuration.discovery == ("127.0.0.1", 8500)
     assert configuration.seed == 0x8C1F30D27A5BE964
     policy_settings = configuration.settings
@@ -52,7 +52,7 @@
     path = tmp_path / "config.json"
     text = path.read_text()
     path.write_text(text[:-20])
-    monkeypatch.setattr("time.sleep", lambda _: path.write_text(text))  # completed in the pause
+    monkeypatch.setattr("time.sleep", lambda _: path.write_text(text))  # the file is completed in the pause
     assert load_configuration(environment).name == "n3"
 
 
@@ -69,15 +69,15 @@
 def test_file_that_cannot_be_opened_for_seconds_is_read_at_last(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A table of files that is full for seconds does not fail the start."""
+    """A full file table of the system delays the start of a node by seconds, but does not make it fail."""
     environment = _environment(tmp_path, _configuration())
     pauses: list[float] = []
-    really_open = open
+    real_open = open
 
     def fail_at_first(*arguments: Any, **options: Any) -> Any:
         if sum(pauses) < 3.0:
             raise OSError(errno.ENFILE, "too many open files in system")
-        return really_open(*arguments, **options)
+        return real_open(*arguments, **options)
 
     monkeypatch.setattr("builtins.open", fail_at_first)
     monkeypatch.setattr("time.sleep", pauses.append)
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The descriptor limit is divided so that no side can use up the descriptors of another."""
+"""Tests that the descriptor limit is divided so that no side can use up the descriptors of another."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 @pytest.mark.parametrize("limit", [64, 96, 256, 1024, 65536])
 def test_shares_fit_limit_with_reserve_and_overflow(limit: int) -> None:
     shares = divide_descriptors(limit)
-    most_downstream = int(shares.downstream * (1.0 + OVERFLOW_FRACTION))
+    max_downstream = int(shares.downstream * (1.0 + OVERFLOW_FRACTION))
     assert shares.downstream > 1 and shares.upstream > 1
-    assert RESERVED_DESCRIPTORS + most_downstream + shares.upstream <= limit
+    assert RESERVED_DESCRIPTORS + max_downstream + shares.upstream <= limit
 
 
 @pytest.mark.parametrize("limit", [16, 28, 30])
--- a/tests/proxy/test_endpoint_faults.py
+++ b/tests/proxy/test_endpoint_faults.py
@@ -1,6 +1,6 @@
-"""Endpoints that fail: every request gets one complete response before its deadline.
+"""Tests of endpoints that fail: every request gets one complete response before its deadline.
 
-A non-idempotent request is sent once, however its endpoint fails.
+A non-idempotent request is sent only once, in whichever way its endpoint fails.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from tests.proxy.stub_server import Behaviour, ReceivedRequest, StubServer, reply, reset_connection, silent
 
 DEADLINE_S = 0.6
-LOST_S = 0.5  # a response that comes later than this after its deadline counts as lost
+LOST_AFTER_S = 0.5  # a response that arrives more than this after its deadline counts as lost
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 WITHOUT_LENGTH = "within a body without length"
-TRUNCATED = {
+TRUNCATED_RESPONSES = {
     "before the first byte": b"",
     "within the first line": b"HTTP/1.1 2",
     "within the head": HEAD + b"Content-Length: 10\r\nX-Lo",
@@ -36,14 +36,14 @@
 }
 TRUNCATIONS = [
     (where, how)
-    for where in TRUNCATED
+    for where in TRUNCATED_RESPONSES
     for how in ("reset", "close", "silence")
-    if (where, how) != (WITHOUT_LENGTH, "close")  # that is a complete response
+    if (where, how) != (WITHOUT_LENGTH, "close")  # this is a complete response
 ]
 
 
 def truncated(text: bytes, how: str) -> Behaviour:
-    """Write that much of a response, then reset, close, or send nothing more."""
+    """Return a behaviour that writes the truncated response, and then resets, closes or stays silent."""
 
     async def behave(endpoint: StubServer, _: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(text)
@@ -60,13 +60,13 @@
 
 @contextlib.contextmanager
 def unreachable() -> Iterator[str]:
-    """An address at which connections are never established, like that of a machine without a network."""
+    """Yield an address at which no connection is ever established, as on a machine without a network."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind((HOST, 0))
         listener.listen(0)
         address = listener.getsockname()
-        for _ in range(2):  # the backlog is full from then on
+        for _ in range(2):  # they fill the backlog
             filler = stack.enter_context(socket.socket())
             filler.setblocking(False)
             filler.connect_ex(address)
@@ -76,9 +76,9 @@
 @pytest.mark.parametrize("kind", ["look", "move", "book"])
 @async_test
 async def test_response_without_length_is_complete_at_its_close(kind: str) -> None:
-    """An orderly close ends the body; a body that was truncated before cannot be distinguished."""
+    """An orderly close ends the body; a truncated body cannot be distinguished from a complete one."""
     async with (
-        StubServer([truncated(TRUNCATED[WITHOUT_LENGTH], "close")]) as endpoint,
+        StubServer([truncated(TRUNCATED_RESPONSES[WITHOUT_LENGTH], "close")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
         response = await (await environment.connect_client()).fetch(kind)
@@ -90,25 +90,25 @@
 @pytest.mark.parametrize("kind", ["look", "move", "book"])
 @async_test
 async def test_truncated_response_is_not_served(kind: str, where: str, how: str) -> None:
-    """All endpoints truncate their responses: none is served, and the request ends before its deadline."""
-    text = TRUNCATED[where]
+    """All endpoints truncate their responses: none is forwarded, and the request ends in time."""
+    text = TRUNCATED_RESPONSES[where]
     loop = asyncio.get_running_loop()
     async with (
-        StubServer([truncated(text, how)]) as one,
-        StubServer([truncated(text, how)]) as two,
-        running_node(row("a", one.address), row("b", two.address)) as environment,
+        StubServer([truncated(text, how)]) as endpoint_a,
+        StubServer([truncated(text, how)]) as endpoint_b,
+        running_node(row("a", endpoint_a.address), row("b", endpoint_b.address)) as environment,
     ):
-        began = loop.time()
+        started_at = loop.time()
         response = await (await environment.connect_client()).fetch(kind, deadline=str(DEADLINE_S))
-        assert loop.time() - began < DEADLINE_S + LOST_S
+        assert loop.time() - started_at < DEADLINE_S + LOST_AFTER_S
         assert response.status in (
             (502,) if kind == "book" else (502, 503)
-        ), "what may have run is not rejected as harmless"
+        ), "a request that may have run was rejected, as if a retry were safe"
         assert response.body == b""
         if kind == "book":
-            assert len(one.received) + len(two.received) == 1
-        one.release.set()
-        two.release.set()
+            assert len(endpoint_a.received) + len(endpoint_b.received) == 1
+        endpoint_a.release.set()
+        endpoint_b.release.set()
         await until(
             lambda: not environment.node.requests.attempts_in_flight
             and not environment.node.requests.reserved_client_ids
@@ -121,32 +121,41 @@
 async def test_requests_are_answered_in_time_while_an_endpoint_is_silent(
     duplicate: bool, cancel: bool
 ) -> None:
-    """Of six listed endpoints one accepts requests and is silent, and one is unreachable."""
+    """Of six listed endpoints, one accepts requests but never responds, and one is unreachable."""
 
     async def timed_fetch(environment: NodeEnvironment, kind: str) -> tuple[float, int]:
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         client = await environment.connect_client()
         response = await client.fetch(kind, deadline=str(DEADLINE_S))
-        return asyncio.get_running_loop().time() - began, response.status
+        return asyncio.get_running_loop().time() - started_at, response.status
 
     async with contextlib.AsyncExitStack() as stack:
-        good = [await stack.enter_async_context(StubServer([reply("200 OK", b"x")])) for _ in range(4)]
-        mute = await stack.enter_async_context(StubServer([silent]))
-        lost = stack.enter_context(unreachable())
-        rows = [row(f"s{i}", endpoint.address) for i, endpoint in enumerate([*good, mute])]
-        rows.append(row("lost", lost))
+        healthy_endpoints = [
+            await stack.enter_async_context(StubServer([reply("200 OK", b"x")])) for _ in range(4)
+        ]
+        silent_endpoint = await stack.enter_async_context(StubServer([silent]))
+        unreachable_address = stack.enter_context(unreachable())
+        rows = [
+            row(f"s{i}", endpoint.address) for i, endpoint in enumerate([*healthy_endpoints, silent_endpoint])
+        ]
+        rows.append(row("lost", unreachable_address))
         environment = await stack.enter_async_context(
             running_node(*rows, **policy_limits(mayDuplicate=duplicate, cancel=cancel))
         )
         kinds = ("look", "move", "book") * 20
-        ends = await asyncio.gather(*(timed_fetch(environment, kind) for kind in kinds))
-        assert max(took for took, _ in ends) < DEADLINE_S + LOST_S
-        served = [kind for kind, (_, status) in zip(kinds, ends, strict=True) if status == 200]
+        results = await asyncio.gather(*(timed_fetch(environment, kind) for kind in kinds))
+        assert max(elapsed_s for elapsed_s, _ in results) < DEADLINE_S + LOST_AFTER_S
+        served = [kind for kind, (_, status) in zip(kinds, results, strict=True) if status == 200]
         assert len(served) > len(kinds) / 2
-        bookings = [r for endpoint in [*good, mute] for r in endpoint.received if r.method == "POST"]
-        names = [r.headers["x-request-id"] for r in bookings if "idempotency-key" not in r.headers]
-        assert len(names) == len(set(names))
-        mute.release.set()
+        post_requests = [
+            r
+            for endpoint in [*healthy_endpoints, silent_endpoint]
+            for r in endpoint.received
+            if r.method == "POST"
+        ]
+        request_ids = [r.headers["x-request-id"] for r in post_requests if "idempotency-key" not in r.headers]
+        assert len(request_ids) == len(set(request_ids))
+        silent_endpoint.release.set()
         await until(
             lambda: not environment.node.requests.attempts_in_flight
             and not environment.node.requests.reserved_client_ids
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""A node follows the endpoint list: draining and restarted endpoints, and broken watches."""
+"""Tests that a node applies the endpoint list: draining and restarted endpoints, and broken watches."""
 
 from __future__ import annotations
 
@@ -16,17 +16,20 @@
 @async_test
 async def test_draining_endpoint_gets_no_request_and_idle_connections_close() -> None:
     async with (
-        StubServer([reply("200 OK", b"a")]) as one,
-        StubServer([reply("200 OK", b"b")]) as two,
-        running_node(row("a", one.address)) as environment,
+        StubServer([reply("200 OK", b"a")]) as endpoint_a,
+        StubServer([reply("200 OK", b"b")]) as endpoint_b,
+        running_node(row("a", endpoint_a.address)) as environment,
     ):
         client = await environment.connect_client()
         assert (await client.fetch("look")).body == b"a"
         watch = await environment.discovery.watch()
-        send_line(watch, listing(2, row("a", one.address, "DRAINING"), row("b", two.address), reset=False))
-        await asyncio.wait_for(one.disconnected.wait(), TIMEOUT_S)
+        send_line(
+            watch,
+            listing(2, row("a", endpoint_a.address, "DRAINING"), row("b", endpoint_b.address), reset=False),
+        )
+        await asyncio.wait_for(endpoint_a.disconnected.wait(), TIMEOUT_S)
         assert {(await client.fetch("look")).body for _ in range(5)} == {b"b"}
-        assert len(one.received) == 1
+        assert len(endpoint_a.received) == 1
 
 
 @async_test
@@ -44,20 +47,20 @@
         assert (await client.fetch("look")).body == b"new"
 
 
-@pytest.mark.parametrize("breaks", ["reset", "bad line", "bad list"])
+@pytest.mark.parametrize("fault", ["reset", "bad line", "bad list"])
 @async_test
-async def test_broken_watch_is_reopened_from_last_version(breaks: str) -> None:
+async def test_broken_watch_is_reopened_from_last_version(fault: str) -> None:
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
         watch = await environment.discovery.watch()
         send_line(watch, listing(41, row("a", endpoint.address)))
-        if breaks == "reset":
+        if fault == "reset":
             await watch.drain()
             watch.close()
         else:
-            send_line(watch, b"{nonsense" if breaks == "bad line" else b'{"generation":42,"reset":true}')
+            send_line(watch, b"{nonsense" if fault == "bad line" else b'{"generation":42,"reset":true}')
         again = await environment.discovery.watch()
         assert environment.discovery.targets == [
             "/v1/endpoints?watch=1&from=1",
@@ -66,7 +69,7 @@
         send_line(again, listing(42, reset=False))
         assert (
             await (await environment.connect_client()).fetch("look")
-        ).status == 200, "the last list remains"
+        ).status == 200, "the node did not keep the last list"
 
 
 @async_test
@@ -79,7 +82,7 @@
         (await environment.discovery.watch()).close()
         watch = await environment.discovery.watch()
         client = await environment.connect_client()
-        assert (await client.fetch(target="/ready")).status == 503, "no list yet"
+        assert (await client.fetch(target="/ready")).status == 503, "the node was ready without a list"
         send_line(watch, listing(5, row("a", endpoint.address)))
         await until(lambda: recorder.events)
         assert (await client.fetch(target="/ready")).status == 200
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -1,4 +1,4 @@
-"""A node between clients and endpoints: which requests it forwards, retries and answers."""
+"""Tests of a node between clients and endpoints: which requests it forwards, retries and answers."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
 
 @async_test
 async def test_request_rejected_by_every_endpoint_gets_503_with_retry_after() -> None:
-    full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
-    async with StubServer([full]) as endpoint, running_node(row("a", endpoint.address)) as environment:
+    rejection = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
+    async with StubServer([rejection]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         response = await (await environment.connect_client()).fetch("book")
         assert response.status == 503
         assert 0.0 < float(response.headers["retry-after"]) <= 2.0
@@ -59,9 +59,9 @@
 
 @async_test
 async def test_rejected_non_idempotent_request_is_retried() -> None:
-    full = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
+    rejection = reply("503 Service Unavailable", extra="X-Not-Run: 1\r\n")
     async with (
-        StubServer([full, reply("200 OK", b"b")]) as endpoint,
+        StubServer([rejection, reply("200 OK", b"b")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
         assert (await (await environment.connect_client()).fetch("book")).status == 200
@@ -72,25 +72,25 @@
 @async_test
 async def test_non_idempotent_request_that_may_have_run_fails_without_retry(behaviour: object) -> None:
     async with (
-        StubServer([behaviour]) as one,  # type: ignore[list-item]
-        StubServer([behaviour]) as two,  # type: ignore[list-item]
-        running_node(row("a", one.address), row("b", two.address)) as environment,
+        StubServer([behaviour]) as endpoint_a,  # type: ignore[list-item]
+        StubServer([behaviour]) as endpoint_b,  # type: ignore[list-item]
+        running_node(row("a", endpoint_a.address), row("b", endpoint_b.address)) as environment,
     ):
         response = await (await environment.connect_client()).fetch("book", body=b"slot")
         assert response.status == 502
         assert "retry-after" not in response.headers
-        assert len(one.received) + len(two.received) == 1
+        assert len(endpoint_a.received) + len(endpoint_b.received) == 1
 
 
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_idle_connection_that_breaks_after_write_causes_no_resend() -> None:
-    """HTTP clients often resend such a request on a new connection; a node must not."""
+    """HTTP clients often resend such a request on a new connection; a node must not resend it."""
     async with (
         StubServer([reply("200 OK"), reset]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
-        _keep_idle_connections(environment.node)  # however slow the machine is between the two requests
+        _keep_idle_connections(environment.node)  # even if the machine is slow between the two requests
         client = await environment.connect_client()
         assert (await client.fetch("book")).status == 200
         assert (await client.fetch("book")).status == 502
@@ -102,24 +102,24 @@
 async def test_non_idempotent_request_avoids_idle_connection_of_vanished_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The connections of a vanished machine stay open and silent; only a new connection reveals the fault."""
+    """Connections to a vanished machine stay open without data; only a new connection shows the fault."""
     async with (
-        StubServer([reply("200 OK")]) as one,
-        StubServer([reply("200 OK")]) as two,
-        running_node(row("a", one.address), row("b", two.address)) as environment,
+        StubServer([reply("200 OK")]) as endpoint_a,
+        StubServer([reply("200 OK")]) as endpoint_b,
+        running_node(row("a", endpoint_a.address), row("b", endpoint_b.address)) as environment,
     ):
         client = await environment.connect_client()
-        while not (one.received and two.received):
+        while not (endpoint_a.received and endpoint_b.received):
             assert (await client.fetch("look")).status == 200
-        one.vanish()
+        endpoint_a.vanish()
         now = Clock.now
-        # The endpoint has sent nothing for this time.
+        # From here on, the endpoint has sent nothing for one second.
         monkeypatch.setattr(Clock, "now", lambda clock: now(clock) + 1000.0)
         recorder = PolicyRecorder(environment.node)
         for _ in range(12):
             assert (await client.fetch("book", deadline="1.0")).status == 200
         assert any(outcome is Outcome.CONNECT_FAILED for outcome in recorder.outcomes)
-        assert {received.method for received in one.received} == {"GET"}
+        assert {received.method for received in endpoint_a.received} == {"GET"}
 
 
 @async_test
@@ -134,8 +134,8 @@
 
 
 @async_test
-async def test_settings_of_stubs_are_read_completely() -> None:
-    """Guards the other tests: a renamed key would silently take its default."""
+async def test_sample_settings_are_read_completely() -> None:
+    """If a key were renamed, its default would be used, and the other tests would not notice."""
     names = {c["name"] for c in settings()["profiles"]}
     async with running_node(row("a", f"{HOST}:1")) as environment:
         assert {c.name for c in environment.node.config.settings.classes} == names
--- a/tests/proxy/test_policy_driver.py
+++ b/tests/proxy/test_policy_driver.py
@@ -1,4 +1,4 @@
-"""The policy sees one event at a time, and its faults are contained."""
+"""Tests that the policy sees one event at a time, and that its faults affect single requests only."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
         def fail_once(_: Event, __: float) -> list[Action]:
             replace_policy(environment.node, handle)
-            raise RuntimeError("planted")
+            raise RuntimeError("raised by the test")
 
         handle = replace_policy(environment.node, fail_once)
         client = await environment.connect_client()
@@ -29,24 +29,24 @@
 
 
 @async_test
-async def test_event_from_within_a_decision_waits_until_policy_has_returned() -> None:
+async def test_event_during_decision_is_queued_until_policy_returns() -> None:
     """An attempt that ends while it is being started must not be reported within the same decision."""
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
-        inside, seen = False, 0
+        is_deciding, event_count = False, 0
 
-        def watched(event: Event, now: float) -> list[Action]:
-            nonlocal inside, seen
-            assert not inside, "an event came while the policy was deciding"
-            inside, seen = True, seen + 1
-            if seen == 1:
+        def handle_and_check(event: Event, now: float) -> list[Action]:
+            nonlocal is_deciding, event_count
+            assert not is_deciding, "an event was handled while the policy was deciding"
+            is_deciding, event_count = True, event_count + 1
+            if event_count == 1:
                 environment.node.handle_event(RequestAbandoned(99))
             actions = handle(event, now)
-            inside = False
+            is_deciding = False
             return actions
 
-        handle = replace_policy(environment.node, watched)
+        handle = replace_policy(environment.node, handle_and_check)
         assert (await (await environment.connect_client()).fetch("look")).status == 200
-        assert seen >= 3, "the event that came in between was dropped"
+        assert event_count >= 3, "the event that was reported during the decision was dropped"
--- a/tests/proxy/test_request_guard.py
+++ b/tests/proxy/test_request_guard.py
@@ -1,4 +1,4 @@
-"""The last check before an attempt is written or a request is rejected; it does not rely on the policy."""
+"""Tests of the last check before an attempt is written or a request rejected, independent of the policy."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from tests.proxy.stub_discovery import row
 from tests.proxy.stub_server import StubServer, reply, reset
 
-NEAR = Endpoint(b"near", zone=0, cell=0)
+FIRST_ENDPOINT = Endpoint(b"first", zone=0, cell=0)
 SAME_ZONE = Endpoint(b"same-zone", zone=0, cell=1)
-FAR = Endpoint(b"far", zone=1, cell=2)
+OTHER_ZONE = Endpoint(b"other-zone", zone=1, cell=2)
 WINDOW_MS = 500.0
 
 
@@ -37,73 +37,73 @@
     return RequestGuard(settings, 0)
 
 
-def _after_first(guard: RequestGuard, outcome: Outcome | None) -> RequestGuard:
-    guard.record_write(0, NEAR, 0.0)
+def _after_first_attempt(guard: RequestGuard, outcome: Outcome | None) -> RequestGuard:
+    guard.record_write(0, FIRST_ENDPOINT, 0.0)
     if outcome is not None:
         guard.record_outcome(0, outcome)
     return guard
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_what_has_not_run_may_be_repeated_and_rejected(outcome: Outcome) -> None:
-    guard = _after_first(_guard(Idempotency.NON_IDEMPOTENT), outcome)
-    assert guard.check_write(FAR, 10.0) is None
+def test_request_that_has_not_run_may_be_repeated_and_rejected(outcome: Outcome) -> None:
+    guard = _after_first_attempt(_guard(Idempotency.NON_IDEMPOTENT), outcome)
+    assert guard.check_write(OTHER_ZONE, 10.0) is None
     assert guard.may_reject()
 
 
 @pytest.mark.parametrize("outcome", [None, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR, Outcome.CANCELLED])
-def test_what_may_have_run_once_is_not_repeated_or_rejected(outcome: Outcome | None) -> None:
-    guard = _after_first(_guard(Idempotency.NON_IDEMPOTENT), outcome)
-    assert guard.check_write(FAR, 10.0) is Rule.REPEATED
+def test_request_that_may_have_run_is_not_repeated_or_rejected(outcome: Outcome | None) -> None:
+    guard = _after_first_attempt(_guard(Idempotency.NON_IDEMPOTENT), outcome)
+    assert guard.check_write(OTHER_ZONE, 10.0) is Rule.REPEATED
     assert not guard.may_reject()
 
 
 @pytest.mark.parametrize(
     ("scope", "endpoint", "rule"),
     [
-        (DeduplicationScope.ALL, FAR, None),
+        (DeduplicationScope.ALL, OTHER_ZONE, None),
         (DeduplicationScope.ZONE, SAME_ZONE, None),
-        (DeduplicationScope.ZONE, FAR, Rule.OUTSIDE_SCOPE),
-        (DeduplicationScope.CELL, NEAR, None),
+        (DeduplicationScope.ZONE, OTHER_ZONE, Rule.OUTSIDE_SCOPE),
+        (DeduplicationScope.CELL, FIRST_ENDPOINT, None),
         (DeduplicationScope.CELL, SAME_ZONE, Rule.OUTSIDE_SCOPE),
     ],
 )
 def test_keyed_request_is_repeated_within_scope_and_window(
     scope: DeduplicationScope, endpoint: Endpoint, rule: Rule | None
 ) -> None:
-    guard = _after_first(_guard(Idempotency.KEYED, scope), Outcome.TIMEOUT)
+    guard = _after_first_attempt(_guard(Idempotency.KEYED, scope), Outcome.TIMEOUT)
     assert guard.check_write(endpoint, WINDOW_MS - 1.0) is rule
-    assert guard.check_write(NEAR, WINDOW_MS) is Rule.OUTSIDE_WINDOW
+    assert guard.check_write(FIRST_ENDPOINT, WINDOW_MS) is Rule.OUTSIDE_WINDOW
     assert guard.may_reject() is (scope is DeduplicationScope.ALL)
 
 
-def test_limits_of_the_settings_hold() -> None:
-    guard = _after_first(_guard(Idempotency.IDEMPOTENT, hedging_allowed=False), None)
-    assert guard.check_write(FAR, 1.0) is Rule.CONCURRENT
+def test_limits_of_the_settings_are_enforced() -> None:
+    guard = _after_first_attempt(_guard(Idempotency.IDEMPOTENT, hedging_allowed=False), None)
+    assert guard.check_write(OTHER_ZONE, 1.0) is Rule.CONCURRENT
     guard.record_outcome(0, Outcome.RESET)
-    assert guard.check_write(FAR, 1.0) is None
-    guard.record_write(1, FAR, 1.0)
+    assert guard.check_write(OTHER_ZONE, 1.0) is None
+    guard.record_write(1, OTHER_ZONE, 1.0)
     guard.record_outcome(1, Outcome.RESET)
-    assert guard.check_write(NEAR, 2.0) is Rule.ATTEMPT_LIMIT
+    assert guard.check_write(FIRST_ENDPOINT, 2.0) is Rule.ATTEMPT_LIMIT
     assert _guard(Idempotency.IDEMPOTENT).check_write(None, 0.0) is Rule.NOT_SERVING
 
 
 @async_test
-async def test_repeat_that_a_faulty_policy_decides_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_forbidden_repeat_by_faulty_policy_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("load_balancer.policy.selection.permits", lambda *_: True)
     async with (
-        StubServer([reset, reply("200 OK")]) as one,
-        StubServer([reset, reply("200 OK")]) as two,
-        running_node(row("a", one.address), row("b", two.address)) as environment,
+        StubServer([reset, reply("200 OK")]) as endpoint_a,
+        StubServer([reset, reply("200 OK")]) as endpoint_b,
+        running_node(row("a", endpoint_a.address), row("b", endpoint_b.address)) as environment,
     ):
         client = await environment.connect_client()
         assert (await client.fetch("book", deadline="0.5")).status >= 500
-        assert len(one.received) + len(two.received) == 1
+        assert len(endpoint_a.received) + len(endpoint_b.received) == 1
         assert environment.node.rules.violations[Rule.REPEATED] >= 1
 
 
 @async_test
-async def test_rejection_that_a_faulty_policy_decides_is_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_forbidden_rejection_by_faulty_policy_becomes_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("load_balancer.state.request_records.Request.repeatable_anywhere", lambda _: True)
     async with StubServer([reset]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         assert (await (await environment.connect_client()).fetch("book")).status == 502
--- a/tests/proxy/test_request_handler.py
+++ b/tests/proxy/test_request_handler.py
@@ -1,4 +1,4 @@
-"""A request has one response before its deadline, or ends when its client leaves."""
+"""Tests that a request gets one response before its deadline, or ends when its client leaves."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @async_test
-async def test_client_that_leaves_ends_its_attempt() -> None:
+async def test_attempt_ends_when_client_leaves() -> None:
     async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         recorder = PolicyRecorder(environment.node)
         client = await environment.connect_client()
@@ -34,9 +34,9 @@
 async def test_response_comes_before_deadline_though_endpoint_is_silent(kind: str, status: int) -> None:
     async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
         client = await environment.connect_client()
-        begin = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         response = await client.fetch(kind, deadline="0.6")
-        assert asyncio.get_running_loop().time() - begin < 0.6 + 0.05, "later than the deadline allows"
+        assert asyncio.get_running_loop().time() - started_at < 0.6 + 0.05, "the response was too late"
         assert response.status == status
         assert len(endpoint.received) == 1
         endpoint.release.set()
--- a/tests/proxy/test_request_table.py
+++ b/tests/proxy/test_request_table.py
@@ -1,4 +1,4 @@
-"""Client ids are reserved while a request is open."""
+"""Tests that a client id is reserved while its request is open."""
 
 from __future__ import annotations
 
