--- a/tests/proxy/event_loop/test_clock.py
+++ b/tests/proxy/event_loop/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock of a node."""
+"""Tests of the clock of a node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_clock_reads_unix_time_and_ignores_step_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Start times of endpoints are Unix time; a set-back system clock must not prolong a slow start."""
+    """Endpoints' start times are Unix times; setting the system clock back must not prolong a slow start."""
     clock = Clock()
     assert abs(clock.now() - 1000.0 * time.time()) < 1000.0
     before = clock.now()
--- a/tests/proxy/event_loop/test_loop_iterations.py
+++ b/tests/proxy/event_loop/test_loop_iterations.py
@@ -1,4 +1,4 @@
-"""The time of a request counts from its arrival, even if a busy event loop reads it late."""
+"""Tests that a request's budget counts from its arrival, even if a busy event loop reads it late."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 from tests.proxy.stub_server import StubServer, reply
 
 
-class _StandingClock:
-    """Replaces the time that the node reads; it advances only when a test sets it."""
+class _ManualClock:
+    """Replaces the monotonic clock that the node reads with a clock that only the test advances."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = time.monotonic()
         monkeypatch.setattr(time, "monotonic", lambda: self.now)
 
 
-async def _idle_iterations(clock: _StandingClock) -> None:
-    """Run iterations that do no work and whose polls of the sockets wait."""
+async def _idle_iterations(clock: _ManualClock) -> None:
+    """Run iterations that do no work and whose polls of the sockets take one second each."""
     for _ in range(5):
         await asyncio.sleep(0)
         clock.now += 1.0
 
 
-@pytest.mark.parametrize("new", [True, False], ids=["new connection", "open connection"])
+@pytest.mark.parametrize("on_new_connection", [True, False], ids=["new connection", "open connection"])
 @async_test
 async def test_budget_counts_from_arrival_when_loop_is_busy(
-    new: bool, monkeypatch: pytest.MonkeyPatch
+    on_new_connection: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop is occupied for 0.8 s, while requests with deadlines of 1 s and 0.5 s arrive."""
     async with (
         StubServer([reply("200 OK", b"x")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
-        clients = [] if new else [blocking_client(environment.address) for _ in range(2)]
+        clients = [] if on_new_connection else [blocking_client(environment.address) for _ in range(2)]
         await until(
             lambda: len([c for c in environment.node.downstream.connections if c.answered]) == len(clients)
         )
         recorder = PolicyRecorder(environment.node)
-        clock = _StandingClock(monkeypatch)
+        clock = _ManualClock(monkeypatch)
         await _idle_iterations(clock)
-        environment.node.downstream.iterations.mark_activity()  # from here on the loop is busy
+        environment.node.downstream.iterations.mark_activity()  # from here on, the event loop is busy
         for i, deadline in enumerate(("1.0", "0.5")):
-            if new:
+            if on_new_connection:
                 clients.append(socket.create_connection(environment.address, timeout=TIMEOUT_S))
             clients[i].sendall(request("look", deadline=deadline))
         clock.now += 0.8
@@ -75,7 +75,7 @@
         with blocking_client(environment.address) as client:
             await until(lambda: any(c.answered for c in environment.node.downstream.connections))
             recorder = PolicyRecorder(environment.node)
-            clock = _StandingClock(monkeypatch)
+            clock = _ManualClock(monkeypatch)
             environment.node.downstream.iterations.mark_activity()
             await _idle_iterations(clock)
             client.sendall(request("look", deadline="1.0"))
--- a/tests/proxy/lifecycle/test_configuration_reload.py
+++ b/tests/proxy/lifecycle/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""Discovery moves to the address in the configuration file at SIGHUP and after a start."""
+"""Tests that discovery moves to the address in the configuration file, after SIGHUP and after a start."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 async def test_sighup_opens_new_watch_before_old_one_closes(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
     async with (
-        StubServer([reply("200 OK", b"a")]) as one,
-        StubServer([reply("200 OK", b"b")]) as two,
-        StubDiscovery() as moved,
-        running_node(row("a", one.address), path=str(config)) as environment,
+        StubServer([reply("200 OK", b"a")]) as endpoint_a,
+        StubServer([reply("200 OK", b"b")]) as endpoint_b,
+        StubDiscovery() as new_discovery,
+        running_node(row("a", endpoint_a.address), path=str(config)) as environment,
     ):
-        old = await environment.discovery.watch()
-        send_line(old, listing(41, row("a", one.address)))
+        old_watch = await environment.discovery.watch()
+        send_line(old_watch, listing(41, row("a", endpoint_a.address)))
         await until(lambda: environment.endpoint_discovery.version == 41)
-        config.write_text(json.dumps({"discovery": moved.address}))
+        config.write_text(json.dumps({"discovery": new_discovery.address}))
         os.kill(os.getpid(), signal.SIGHUP)
-        new = await moved.watch()
-        assert moved.targets == ["/v1/endpoints?watch=1&from=41"]
-        send_line(old, listing(42, row("b", two.address), reset=False))
+        new_watch = await new_discovery.watch()
+        assert new_discovery.targets == ["/v1/endpoints?watch=1&from=41"]
+        send_line(old_watch, listing(42, row("b", endpoint_b.address), reset=False))
         await until(lambda: environment.endpoint_discovery.version == 42)
         assert (
             environment.endpoint_discovery.watch is not environment.endpoint_discovery.successor is not None
         )
-        send_line(new, listing(43, row("a", one.address, "DRAINING"), reset=False))
+        send_line(new_watch, listing(43, row("a", endpoint_a.address, "DRAINING"), reset=False))
         await until(lambda: environment.endpoint_discovery.version == 43)
         await asyncio.wait_for(environment.discovery.disconnected.wait(), TIMEOUT_S)
         client = await environment.connect_client()
         assert {(await client.fetch("look")).body for _ in range(5)} == {b"b"}
-        assert len(environment.discovery.targets) == 1, "the old address was asked again"
+        assert len(environment.discovery.targets) == 1, "the node opened another watch at the old address"
 
 
 @async_test
@@ -56,19 +56,19 @@
     config = tmp_path / "config.json"
     async with (
         StubServer([reply("200 OK", b"a")]) as endpoint,
-        StubDiscovery() as moved,
+        StubDiscovery() as new_discovery,
         running_node(row("a", endpoint.address), path=str(config)) as environment,
     ):
         recorder = PolicyRecorder(environment.node)
-        old = await environment.discovery.watch()
-        send_line(old, listing(41, row("a", endpoint.address)))
-        config.write_text(json.dumps({"discovery": moved.address}))
+        old_watch = await environment.discovery.watch()
+        send_line(old_watch, listing(41, row("a", endpoint.address)))
+        config.write_text(json.dumps({"discovery": new_discovery.address}))
         await until(lambda: environment.endpoint_discovery.version == 41)
         environment.node.reload()
-        (await moved.watch()).transport.abort()
-        new = await moved.watch()
-        old.close()  # as the old discovery does some time after
-        send_line(new, listing(42, reset=False))
+        (await new_discovery.watch()).transport.abort()
+        new_watch = await new_discovery.watch()
+        old_watch.close()  # the old discovery also closes its watch some time later
+        send_line(new_watch, listing(42, reset=False))
         await until(lambda: environment.endpoint_discovery.version == 42)
         assert not [
             e
@@ -78,11 +78,11 @@
 
 
 @async_test
-async def test_reload_is_followed_at_once_after_failed_watch(tmp_path: Path) -> None:
+async def test_reload_is_applied_at_once_after_failed_watch(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
     async with (
         StubServer([reply("200 OK", b"a")]) as endpoint,
-        StubDiscovery() as moved,
+        StubDiscovery() as new_discovery,
         running_node(
             row("a", endpoint.address),
             path=str(config),
@@ -92,42 +92,46 @@
         environment.endpoint_discovery.subscribe()
         (await environment.discovery.watch()).transport.abort()
         await until(lambda: not environment.endpoint_discovery.watch is not None)
-        config.write_text(json.dumps({"discovery": moved.address}))
+        config.write_text(json.dumps({"discovery": new_discovery.address}))
         environment.node.reload()  # the policy's next poll is seconds away
-        send_line(await moved.watch(), listing(41, row("a", endpoint.address)))
+        send_line(await new_discovery.watch(), listing(41, row("a", endpoint.address)))
         await until(lambda: environment.endpoint_discovery.version == 41)
         assert environment.endpoint_discovery.watch is not None
 
 
 @async_test
-async def test_configuration_replaced_between_its_reading_and_the_start_is_followed(tmp_path: Path) -> None:
-    """SIGHUP arrived before the node handled signals."""
+async def test_configuration_replaced_between_read_and_start_is_applied(tmp_path: Path) -> None:
+    """This happens if SIGHUP arrives before the node handles signals."""
     path = tmp_path / "config.json"
-    async with StubDiscovery() as old, StubDiscovery() as moved:
+    async with StubDiscovery() as old_discovery, StubDiscovery() as new_discovery:
         limits = {"memory_mb": 192, "sockets": 256}
         content = {"name": "n0", "seed": "1", "limits": limits, "settings": settings(registryMode="pushed")}
-        path.write_text(json.dumps({**content, "discovery": old.address}))
-        environment = {"NODE_CONFIG": str(path), "NODE_LISTEN": f"{HOST}:0", "NODE_DISCOVERY": old.address}
+        path.write_text(json.dumps({**content, "discovery": old_discovery.address}))
+        environment = {
+            "NODE_CONFIG": str(path),
+            "NODE_LISTEN": f"{HOST}:0",
+            "NODE_DISCOVERY": old_discovery.address,
+        }
         node = Node(load_configuration(environment))
-        path.write_text(json.dumps({**content, "discovery": moved.address}))
+        path.write_text(json.dumps({**content, "discovery": new_discovery.address}))
         await node.start()
         try:
-            await moved.watch()
+            await new_discovery.watch()
         finally:
             node.stop()
 
 
 @async_test
-async def test_reload_of_half_written_configuration_is_tried_again(tmp_path: Path) -> None:
+async def test_reload_of_half_written_configuration_is_retried(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    async with StubServer([reply("200 OK")]) as endpoint, StubDiscovery() as moved:
-        text = json.dumps({"discovery": moved.address})
+    async with StubServer([reply("200 OK")]) as endpoint, StubDiscovery() as new_discovery:
+        text = json.dumps({"discovery": new_discovery.address})
         async with running_node(row("a", endpoint.address), path=str(path)) as environment:
             await environment.discovery.watch()
             path.write_text(text[:-2])
             environment.node.reload()
-            path.write_text(text)  # and no other signal
-            await moved.watch()
+            path.write_text(text)  # without another signal
+            await new_discovery.watch()
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", '{"discovery": "nowhere"}', '{"discovery": 5}', "{}"])
@@ -149,21 +153,21 @@
 
 
 @async_test
-async def test_sighup_after_sigterm_is_followed(tmp_path: Path) -> None:
+async def test_sighup_after_sigterm_is_applied(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
     async with (
         StubServer([when_released(reply("200 OK", b"x"))]) as endpoint,
-        StubDiscovery() as moved,
+        StubDiscovery() as new_discovery,
         running_node(row("a", endpoint.address), path=str(config), registryMode="pushed") as environment,
     ):
-        (await environment.discovery.watch()).transport.abort()  # and its watch is broken as well
+        (await environment.discovery.watch()).transport.abort()  # the watch is broken as well
         client = await environment.connect_client()
         client.writer.write(open_requests(1))
         await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         environment.node.terminate()
-        config.write_text(json.dumps({"discovery": moved.address}))
+        config.write_text(json.dumps({"discovery": new_discovery.address}))
         environment.node.reload()
-        await moved.watch()
+        await new_discovery.watch()
         endpoint.release.set()
         assert (await client.read_response()).body == b"x"
         await asyncio.wait_for(environment.serving, TIMEOUT_S)
--- a/tests/proxy/lifecycle/test_graceful_shutdown.py
+++ b/tests/proxy/lifecycle/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""After SIGTERM open and new requests are answered before the node stops."""
+"""Tests that open and new requests are answered after SIGTERM, before the node stops."""
 
 from __future__ import annotations
 
@@ -43,25 +43,25 @@
         StubServer([when_released(reply("200 OK", b"first")), reply("200 OK", b"second")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
     ):
-        idle, busy = await environment.connect_client(), await environment.connect_client()
-        assert (await idle.fetch(target="/ready")).status == 200
-        busy.writer.write(request("look"))
+        idle_client, busy_client = await environment.connect_client(), await environment.connect_client()
+        assert (await idle_client.fetch(target="/ready")).status == 200
+        busy_client.writer.write(request("look"))
         await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         environment.node.terminate()
-        assert await idle.ends_without_output(), "an idle connection stayed open"
+        assert await idle_client.ends_without_output(), "an idle connection stayed open"
         response = await (await environment.connect_client()).fetch(target="/ready")
         assert (response.status, response.headers["connection"]) == (503, "close")
         response = await (await environment.connect_client()).fetch("look")
         assert (response.body, response.headers["connection"]) == (b"second", "close")
-        assert not environment.serving.done(), "it ended with a request open"
+        assert not environment.serving.done(), "the node stopped while a request was open"
         endpoint.release.set()
-        response = await busy.read_response()
+        response = await busy_client.read_response()
         assert (response.body, response.headers["connection"]) == (b"first", "close")
         await asyncio.wait_for(environment.serving, TIMEOUT_S)
 
 
 @async_test
-async def test_request_open_when_shutdown_time_is_over_is_failed(
+async def test_request_open_at_shutdown_deadline_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with StubServer([silent]) as endpoint, running_node(row("a", endpoint.address)) as environment:
@@ -81,10 +81,14 @@
 @async_test
 async def test_shutdown_ends_before_sigkill(deadlines_ms: tuple[float, ...], kill_s: float) -> None:
     async with running_node(row("a", f"{HOST}:1"), profiles=_classes(*deadlines_ms)) as environment:
-        last = environment.node.shutdown.deadline.answer_within_s
-        assert last >= min(max(deadlines_ms) / 1000.0, 3.0), "what came before SIGTERM has its time"
-        end = last + KILL_MARGIN_S / 2 + graceful_shutdown.DRAIN_CHECK_S + graceful_shutdown.FLUSH_S
-        assert end + 0.1 <= kill_s
+        answer_limit_s = environment.node.shutdown.deadline.answer_within_s
+        assert answer_limit_s >= min(
+            max(deadlines_ms) / 1000.0, 3.0
+        ), "earlier requests lose some of their time"
+        stop_limit_s = (
+            answer_limit_s + KILL_MARGIN_S / 2 + graceful_shutdown.DRAIN_CHECK_S + graceful_shutdown.FLUSH_S
+        )
+        assert stop_limit_s + 0.1 <= kill_s
 
 
 @async_test
@@ -109,7 +113,7 @@
     ):
         with blocking_client(environment.address) as client:
             await until(lambda: any(c.answered for c in environment.node.downstream.connections))
-            client.sendall(request("look"))  # and before the loop's next iteration
+            client.sendall(request("look"))  # SIGTERM follows before the event loop's next iteration
             environment.node.terminate()
             responses = await read_to_end(client)
             assert responses.count(b"200 OK") == 2
@@ -119,7 +123,8 @@
 async def test_unaccepted_connection_at_shutdown_end_gets_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(graceful_shutdown, "MIN_DRAIN_S", TIMEOUT_S)  # the check is made below
+    # No check is due by itself in this time: the test calls check_drained() below.
+    monkeypatch.setattr(graceful_shutdown, "MIN_DRAIN_S", TIMEOUT_S)
     monkeypatch.setattr(graceful_shutdown, "QUIET_PERIOD_S", 0.0)
     async with (
         StubServer([reply("200 OK", b"x")]) as endpoint,
@@ -127,7 +132,7 @@
     ):
         environment.node.terminate()
         with blocking_client(environment.address) as client:
-            environment.node.shutdown.check_drained()  # in the iteration in which it came
+            environment.node.shutdown.check_drained()  # in the iteration in which the connection arrives
             assert b"200 OK" in await read_to_end(client)
         await asyncio.wait_for(environment.serving, TIMEOUT_S)
 
@@ -141,9 +146,8 @@
         client.writer.write(open_requests(1))
         await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         environment.node.terminate()
-        monkeypatch.setattr(
-            environment.node.shutdown.deadline, "answer_within_s", -1.0
-        )  # the time has run out
+        # The deadline of the shutdown has passed.
+        monkeypatch.setattr(environment.node.shutdown.deadline, "answer_within_s", -1.0)
         with blocking_client(environment.address):
             environment.node.shutdown.check_drained()
             assert (await client.read_response()).status == 500
--- a/tests/proxy/lifecycle/test_readiness.py
+++ b/tests/proxy/lifecycle/test_readiness.py
@@ -1,4 +1,4 @@
-"""A node is ready once its endpoint list is known to be current, or after a wait."""
+"""Tests that a node is ready once its endpoint list is known to be current, or after a wait."""
 
 from __future__ import annotations
 
@@ -12,24 +12,26 @@
 
 
 @async_test
-async def test_not_ready_on_list_that_may_be_stale() -> None:
-    """The cached list may still have an endpoint as serving that the agent lists as draining."""
+async def test_not_ready_with_list_that_may_be_stale() -> None:
+    """The cached list may contain a serving endpoint that the agent meanwhile lists as draining."""
     async with (
-        StubServer([reply("200 OK", b"a")]) as one,
-        StubServer([reply("200 OK", b"b")]) as two,
-        running_node(row("a", one.address), row("b", two.address), registryMode="pushed") as environment,
+        StubServer([reply("200 OK", b"a")]) as endpoint_a,
+        StubServer([reply("200 OK", b"b")]) as endpoint_b,
+        running_node(
+            row("a", endpoint_a.address), row("b", endpoint_b.address), registryMode="pushed"
+        ) as environment,
     ):
         watch = await environment.discovery.watch()
         client = await environment.connect_client()
         assert (await client.fetch(target="/ready")).status == 503
-        send_line(watch, listing(2, row("a", one.address, "DRAINING"), reset=False))
+        send_line(watch, listing(2, row("a", endpoint_a.address, "DRAINING"), reset=False))
         await until(lambda: environment.endpoint_discovery.has_received_input)
         assert (await client.fetch(target="/ready")).status == 200
         assert {(await client.fetch("look")).body for _ in range(5)} == {b"b"}
 
 
 @async_test
-async def test_ready_though_agent_stays_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_ready_after_wait_though_agent_sends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(readiness, "FIRST_LIST_WAIT_S", 0.0)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
--- a/tests/proxy/lifecycle/test_signals.py
+++ b/tests/proxy/lifecycle/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals are coalesced."""
+"""Tests that signals are coalesced."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 @async_test
-async def test_signals_in_a_row_are_handled_once_in_an_iteration() -> None:
-    """A burst of signals causes one call in an iteration, so that it cannot block the event loop."""
+async def test_burst_of_signals_is_handled_once_per_iteration() -> None:
+    """A burst of signals causes one call in each iteration, so that the burst cannot block the event loop."""
     handled = 0
 
     def handle() -> None:
--- a/tests/proxy/observability/test_counters.py
+++ b/tests/proxy/observability/test_counters.py
@@ -1,4 +1,4 @@
-"""The counters of a node and their summary in the log."""
+"""Tests of the counters of a node and of their summary in the log."""
 
 from __future__ import annotations
 
