--- a/load_balancer/proxy/action_dispatcher.py
+++ b/load_balancer/proxy/action_dispatcher.py
@@ -72,7 +72,7 @@
                 log.info("%s", action)
 
     def fail_request(self, request_id: RequestId) -> None:
-        """Answer a request with 500 because handling one of its events or actions failed."""
+        """Answer a request with 500 because handling one of its events or actions raised an exception."""
         self._requests.respond_fault(request_id)
 
     def on_events_handled(self) -> None:
--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -10,8 +10,8 @@
 DOWNSTREAM_FRACTION = 0.42  # of the descriptors that are not reserved
 MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: clients with requests may use that many connections
 MIN_UPSTREAM_FRACTION = 1 / 3  # of the descriptors that are not reserved; applies under a tight limit
-# The node accepts this fraction of the limit on downstream connections in addition to the limit.  As long as
-# no connection can be evicted, it answers requests on the additional connections with 503.
+# The node accepts this fraction of the limit on downstream connections in addition to the limit.  While no
+# connection can be evicted, it answers requests on the additional connections with 503.
 OVERFLOW_FRACTION = 0.1
 MIN_OVERFLOW = 2
 
--- a/load_balancer/proxy/lifecycle/readiness.py
+++ b/load_balancer/proxy/lifecycle/readiness.py
@@ -8,7 +8,7 @@
 from load_balancer.proxy.upstream.pools import UpstreamPools
 
 # If an agent pushes the endpoint lists, a node waits this long after its start for the first list, because
-# its cached list may be stale.  An agent that is running answers at once.  If discovery is down, the node
+# its cached list may be stale.  An agent that is running responds at once.  If discovery is down, the node
 # uses the cached list after the wait.
 FIRST_LIST_WAIT_S = 1.0
 
--- a/load_balancer/proxy/lifecycle/shutdown_deadline.py
+++ b/load_balancer/proxy/lifecycle/shutdown_deadline.py
@@ -5,8 +5,8 @@
 import time
 
 # SIGKILL follows SIGTERM after the longest deadline of the request classes plus KILL_GRACE_S; a deadline
-# above MAX_KILL_DEADLINE_S counts as MAX_KILL_DEADLINE_S.  The node answers all requests KILL_MARGIN_S before
-# SIGKILL.
+# above MAX_KILL_DEADLINE_S counts as MAX_KILL_DEADLINE_S.  The node must have answered all requests
+# KILL_MARGIN_S before SIGKILL.
 MAX_KILL_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
 KILL_MARGIN_S = 0.3
--- a/load_balancer/proxy/policy_driver.py
+++ b/load_balancer/proxy/policy_driver.py
@@ -34,10 +34,10 @@
         """Carry out one action, which may cause further events."""
 
     def fail_request(self, request_id: RequestId) -> None:
-        """Fail a request because the policy or an action raised an exception for it."""
+        """Fail a request because handling one of its events or actions raised an exception."""
 
     def on_events_handled(self) -> None:
-        """Clean up after the policy has handled all queued events, whether or not it raised an exception."""
+        """Clean up after all queued events have been handled, even if handling one raised an exception."""
 
 
 class PolicyDriver:
