--- a/load_balancer/estimation/latency.py
+++ b/load_balancer/estimation/latency.py
@@ -12,7 +12,7 @@
 TIMEOUT_DEVIATIONS = 4.0
 """An attempt is late after the mean and this many mean deviations, as in TCP's retransmission timeout."""
 
-TIMEOUT_MEANS_MIN = 2.0
+MIN_TIMEOUT_MEANS = 2.0
 """It is never late before this many means, which matters for work that always takes the same time."""
 
 
@@ -29,4 +29,4 @@
         mean = self.mean
         if not mean:
             return math.inf
-        return max(mean + TIMEOUT_DEVIATIONS * self.deviation, TIMEOUT_MEANS_MIN * mean)
+        return max(mean + TIMEOUT_DEVIATIONS * self.deviation, MIN_TIMEOUT_MEANS * mean)
--- a/load_balancer/estimation/probability.py
+++ b/load_balancer/estimation/probability.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 
-def floored(ratios: Sequence[float], floor: float) -> list[float]:
+def apply_floor(ratios: Sequence[float], floor: float) -> list[float]:
     """Probabilities of at least the floor that sum to 1; those above the floor keep their ratios."""
     at_floor: set[int] = set()
     while ratios:
--- a/load_balancer/estimation/rates.py
+++ b/load_balancer/estimation/rates.py
@@ -12,12 +12,12 @@
         time_constant_ms: the time constant of the decay.
     """
 
-    __slots__ = ("_count", "_counted_at", "_shortest_ms", "_started_at", "time_constant_ms")
+    __slots__ = ("_count", "_counted_at", "_min_span_ms", "_started_at", "time_constant_ms")
 
-    def __init__(self, time_constant_ms: float, shortest_ms: float = 1.0) -> None:
+    def __init__(self, time_constant_ms: float, min_span_ms: float = 1.0) -> None:
         self.time_constant_ms = time_constant_ms
         # Units that came within less time than this count as spread over it.
-        self._shortest_ms = shortest_ms
+        self._min_span_ms = min_span_ms
         self._started_at: float | None = None
         self._count = 0.0
         self._counted_at = 0.0
@@ -33,7 +33,7 @@
         """The present rate, in units per millisecond."""
         if self._started_at is None:
             return 0.0
-        age_ms = max(now - self._started_at, self._shortest_ms)
+        age_ms = max(now - self._started_at, self._min_span_ms)
         effective_span_ms = self.time_constant_ms * (1.0 - math.exp(-age_ms / self.time_constant_ms))
         return self._decayed_count(now) / effective_span_ms
 
@@ -46,19 +46,19 @@
 class TokenBucket:
     """A bucket that starts full, is filled at a rate and holds the tokens of one second."""
 
-    __slots__ = ("_filled_at", "_per_s", "_tokens")
+    __slots__ = ("_refilled_at", "_per_s", "_tokens")
 
     def __init__(self, per_s: float) -> None:
         self._per_s = per_s
         self._tokens = per_s
-        self._filled_at = 0.0
+        self._refilled_at = 0.0
 
     def take(self, now: float) -> bool:
         """Take a token, if there is a complete one; a bucket without a rate always has one."""
         if self._per_s <= 0:
             return True
-        self._tokens = min(self._per_s, self._tokens + (now - self._filled_at) * self._per_s / 1000.0)
-        self._filled_at = now
+        self._tokens = min(self._per_s, self._tokens + (now - self._refilled_at) * self._per_s / 1000.0)
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -27,7 +27,7 @@
 QUEUE = QueueParameters()
 
 
-def sharing_nodes(settings: Settings) -> int:
+def sharing_node_count(settings: Settings) -> int:
     """The number of nodes among which the capacity is divided.
 
     That is one at an inner tier: a request that is rejected there wastes the work done for it before.
--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from load_balancer.estimation.probability import floored
+from load_balancer.estimation.probability import apply_floor
 from load_balancer.events import EndpointId
 
 
@@ -64,7 +64,7 @@
     def __init__(self, node_count: int = 1) -> None:
         self.endpoints: list[EndpointId] = []
         self.p: list[float] = []
-        self.average: list[float | None] = []
+        self.latency_averages: list[float | None] = []
         self.alpha = min(max(PARAMETERS.alpha, PARAMETERS.alpha_per_node * node_count), PARAMETERS.max_alpha)
         self.theta = 0.0
         self.theta_type = 0.0
@@ -74,7 +74,7 @@
 
     def mean(self) -> float | None:
         """The payoff threshold: the mean of all averages, None before any response."""
-        known = [a for a in self.average if a is not None]
+        known = [a for a in self.latency_averages if a is not None]
         return sum(known) / len(known) if known else None
 
     def draw(self, eligible: Sequence[int], u: float) -> int:
@@ -131,26 +131,28 @@
         staying = [name for name in self.endpoints if name in weights]
         added = [name for name in weights if name not in self._index]
         ratios = [self.p[self._index[name]] for name in staying]
-        averages = [self.average[self._index[name]] for name in staying]
+        averages = [self.latency_averages[self._index[name]] for name in staying]
         share_per_weight = 1.0
         if staying:
             total_weight = sum(weights[name] for name in staying)
             share_per_weight = PARAMETERS.new_endpoint_shares * sum(ratios) / total_weight
         self.endpoints = staying + added
-        self.average = averages + [None] * len(added)
+        self.latency_averages = averages + [None] * len(added)
         self._index = {name: i for i, name in enumerate(self.endpoints)}
         self._types = [types[name] if types else 0 for name in self.endpoints]
         p_min = PARAMETERS.floor_times_r / len(self.endpoints) if self.endpoints else 0.0
-        self.p = floored(ratios + [share_per_weight * weights[name] for name in added], p_min)
+        self.p = apply_floor(ratios + [share_per_weight * weights[name] for name in added], p_min)
         if self.endpoints:
             self._set_learning_rates()
 
     def _set_learning_rates(self) -> None:
-        of_nodes = PARAMETERS.theta_times_r_per_node * self._node_count
-        theta = max(PARAMETERS.theta_times_r, of_nodes) / len(self.p)
+        theta_times_r_for_nodes = PARAMETERS.theta_times_r_per_node * self._node_count
+        theta = max(PARAMETERS.theta_times_r, theta_times_r_for_nodes) / len(self.p)
         self.theta = min(theta, PARAMETERS.max_theta_per_alpha * self.alpha)
         type_count = len(set(self._types))
-        theta_type = min(of_nodes / type_count, PARAMETERS.max_type_theta_per_alpha * self.alpha)
+        theta_type = min(
+            theta_times_r_for_nodes / type_count, PARAMETERS.max_type_theta_per_alpha * self.alpha
+        )
         self.theta_type = theta_type if type_count > 1 else 0.0
 
     def _reinforce_type(self, machine_type: int, p_min: float) -> None:
@@ -162,17 +164,17 @@
         theta, types = self.theta_type, self._types
         pairs = list(zip(self.p, types, strict=True))
         type_share = sum(x for x, t in pairs if t == machine_type)
-        lost = theta * (1.0 - type_share - p_min * (len(types) - types.count(machine_type)))
-        growth = 1.0 + lost / type_share
+        share_lost_by_others = theta * (1.0 - type_share - p_min * (len(types) - types.count(machine_type)))
+        growth = 1.0 + share_lost_by_others / type_share
         self.p = [x * growth if t == machine_type else x + theta * (p_min - x) for x, t in pairs]
 
     def _update_average(self, i: int, latency: float) -> float:
         """Update the average of one endpoint; returns the payoff threshold for this latency."""
         mean = self.mean()
         if mean is None:  # the first response of all is every endpoint's starting value
-            self.average = [latency] * len(self.average)
+            self.latency_averages = [latency] * len(self.latency_averages)
             return latency
-        old = self.average[i]
+        old = self.latency_averages[i]
         start = mean if old is None else old
-        self.average[i] = start + self.alpha * (latency - start)
+        self.latency_averages[i] = start + self.alpha * (latency - start)
         return self.mean() or latency
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -62,7 +62,7 @@
             self.endpoint_limits,
         )
         self.queue = RequestQueue(context, admission.QUEUE.check_interval_objectives * context.objective_ms)
-        self._work = RelativeSize(WORK_SMOOTHING_FACTOR)
+        self._relative_work = RelativeSize(WORK_SMOOTHING_FACTOR)
         self._quotas = admission.TenantQuotas(settings)
 
     def handle(self, event: events.Event, now: float) -> list[Action]:
@@ -89,7 +89,7 @@
                 self._on_response_started(event)
             case events.PeerMessage():
                 pass
-        self._place_queued()
+        self._dispatch_queued()
         return self.context.end_event()
 
     def _on_endpoint_list(self, event: events.EndpointListUpdate) -> None:
@@ -103,7 +103,7 @@
         context, settings = self.context, self.settings
         context.requests.check_arrival(event, len(settings.classes))
         request_class = settings.classes[event.class_index]
-        work = self._work.observe(event.cost_hint_ms)
+        work = self._relative_work.observe(event.cost_hint_ms)
         request = context.requests.by_id[event.request_id] = Request(
             id=event.request_id,
             request_class=request_class,
@@ -150,12 +150,12 @@
             self._retry_or_finish(request, event.outcome)
 
     def _retry_or_finish(self, request: Request, outcome: events.Outcome) -> None:
-        denial = self.retries.take_retry(request, outcome)
-        if denial is None:
+        denial_reason = self.retries.take_retry(request, outcome)
+        if denial_reason is None:
             left_ms = request.deadline - self.context.now
             self.queue.add(request, admission.retry_timeout_ms(request, left_ms))
         else:
-            self._finish(request, denial)
+            self._finish(request, denial_reason)
 
     def _on_request_abandoned(self, event: events.RequestAbandoned) -> None:
         request = self.context.requests.take(event.request_id)
@@ -184,19 +184,19 @@
             if not self.settings.hedging_allowed:
                 self._cancel_attempts(request)
                 return
-            if self._place(request, final_attempt=False):
+            if self._dispatch(request, final_attempt=False):
                 self.retries.spend()
                 return
         self.retries.schedule_late_check(request)
 
-    def _place_queued(self) -> None:
+    def _dispatch_queued(self) -> None:
         """Send attempts for queued requests, in the order of their priority."""
         queue, skipped = self.queue, 0
         while skipped < len(queue) and skipped < QUEUE_SCAN_LIMIT:
             request = queue[skipped]
             if not self.concurrency.admits(request):
                 break  # a request of lower priority must not pass by the chance of its admission draw
-            if not self._place(request, final_attempt=False):
+            if not self._dispatch(request, final_attempt=False):
                 skipped += 1
         queue.schedule_check()
 
@@ -205,10 +205,10 @@
         for request in self.queue.expired():
             if not self.concurrency.admits(request):
                 self._finish(request, FinishReason.OVERLOADED)
-            elif not self._place(request, final_attempt=True):
+            elif not self._dispatch(request, final_attempt=True):
                 self._finish(request, FinishReason.NO_ENDPOINT)
 
-    def _place(self, request: Request, *, final_attempt: bool) -> bool:
+    def _dispatch(self, request: Request, *, final_attempt: bool) -> bool:
         """Send the request's next attempt to an endpoint, if any may get it; says whether it was sent."""
         record = self.selector.draw(request, final_attempt)
         return record is not None and self._send(request, record)
@@ -239,6 +239,6 @@
     def _cancel_attempts(self, request: Request, keep: int | None = None) -> None:
         """Cancel the attempts in flight except one, as no response of theirs is needed any more."""
         if self.settings.cancel_allowed and request.in_flight:
-            for number, _ in request.running():
+            for number, _ in request.attempts_in_flight():
                 if number != keep:
                     self.context.actions.append(CancelAttempt(request.id, number))
--- a/load_balancer/policy/circuit_breakers.py
+++ b/load_balancer/policy/circuit_breakers.py
@@ -19,7 +19,7 @@
             serve the other classes, so no capacity is lost.
     """
 
-    usual_smoothing_factor: float = 0.05
+    long_term_smoothing_factor: float = 0.05
     max_run_probability: float = 0.001
     max_open_fraction: float = 0.5
 
@@ -46,7 +46,7 @@
     """
 
     rate: float
-    usual_rate: float
+    long_term_rate: float
     excluded: int
     endpoint_count: int
 
@@ -57,7 +57,7 @@
         errors.
         """
         return (
-            failure_rate >= max(FAILURES.min_rate, _rate_beyond_chance(self.usual_rate))
+            failure_rate >= max(FAILURES.min_rate, _rate_of_improbable_run(self.long_term_rate))
             and failure_rate >= FAILURES.min_peer_multiple * self.rate
             and can_exclude(self.excluded, self.endpoint_count, BREAKERS.max_open_fraction)
         )
@@ -75,14 +75,16 @@
         breaker.served = True
         breaker.half_open = False
         breaker.failure_rate -= FAILURES.smoothing_factor * breaker.failure_rate
-        breaker.usual_failure_rate -= BREAKERS.usual_smoothing_factor * breaker.usual_failure_rate
+        breaker.long_term_failure_rate -= BREAKERS.long_term_smoothing_factor * breaker.long_term_failure_rate
         if breaker.failure_rate < FAILURES.recovered_rate:
             breaker.consecutive_openings = 0
 
     def record_failure(self, record: EndpointRecord, class_index: int) -> None:
         """Count a failure of any kind in the usual rate, which opens no breaker."""
         breaker = record.breakers[class_index]
-        breaker.usual_failure_rate += BREAKERS.usual_smoothing_factor * (1.0 - breaker.usual_failure_rate)
+        breaker.long_term_failure_rate += BREAKERS.long_term_smoothing_factor * (
+            1.0 - breaker.long_term_failure_rate
+        )
 
     def record_error(self, record: EndpointRecord, class_index: int) -> bool:
         """Count an error response, which may open the breaker.
@@ -106,13 +108,15 @@
 
     def _peer_failures(self, record: EndpointRecord, class_index: int) -> PeerFailures:
         now = self._context.now
-        peers = [r for r in self._context.endpoints.drawable if r is not record]
+        peers = [r for r in self._context.endpoints.selectable if r is not record]
         admitting = [r.breakers[class_index] for r in peers if admits_class(r, class_index, now)]
         return PeerFailures(
             rate=sum(b.failure_rate for b in admitting) / len(peers) if peers else 1.0,
-            usual_rate=sum(b.usual_failure_rate for b in admitting) / len(admitting) if admitting else 0.0,
+            long_term_rate=sum(b.long_term_failure_rate for b in admitting) / len(admitting)
+            if admitting
+            else 0.0,
             excluded=len(peers) - len(admitting),
-            endpoint_count=len(self._context.endpoints.drawable),
+            endpoint_count=len(self._context.endpoints.selectable),
         )
 
     def _open(self, record: EndpointRecord, class_index: int, peer_rate: float) -> None:
@@ -140,9 +144,9 @@
     return any(other.served and other.failure_rate < FAILURES.smoothing_factor for other in others)
 
 
-def _rate_beyond_chance(usual_rate: float) -> float:
+def _rate_of_improbable_run(long_term_rate: float) -> float:
     """The failure rate after a run of failures that this usual rate makes too unlikely for chance."""
-    if usual_rate <= 0.0:
+    if long_term_rate <= 0.0:
         return 0.0
-    run_length = math.log(BREAKERS.max_run_probability) / math.log(usual_rate)
+    run_length = math.log(BREAKERS.max_run_probability) / math.log(long_term_rate)
     return 1.0 - math.pow(1.0 - FAILURES.smoothing_factor, run_length)
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -3,7 +3,7 @@
 import math
 from typing import NamedTuple
 
-from load_balancer.policy.admission import sharing_nodes
+from load_balancer.policy.admission import sharing_node_count
 from load_balancer.policy.congestion import CONGESTION, CongestionMonitor
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.state.context import NodeContext
@@ -21,9 +21,9 @@
         tiers_per_depth: with this number of tiers left the depth, by which both are multiplied, is one.
     """
 
-    start_per_server: float = 6.0
-    in_work_margin: float = 1.4
-    tiers_per_depth: float = 2.0
+    initial_per_server: float = 6.0
+    in_service_margin: float = 1.4
+    reference_tiers: float = 2.0
 
 
 class GrowthParameters(NamedTuple):
@@ -43,7 +43,7 @@
     rate_margin: float = 1.65
 
 
-class CutParameters(NamedTuple):
+class DecreaseParameters(NamedTuple):
     """How the limit falls under congestion.
 
     Attributes:
@@ -60,7 +60,7 @@
 
 CAPACITY = CapacityParameters()
 GROWTH = GrowthParameters()
-CUT = CutParameters()
+DECREASE = DecreaseParameters()
 
 
 class ConcurrencyLimit:
@@ -75,10 +75,10 @@
         self._context = context
         self._slow_start = slow_start
         self._monitor = monitor
-        self._sharing_nodes = sharing_nodes(context.settings)
+        self._sharing_node_count = sharing_node_count(context.settings)
         self._tiers_left = context.settings.tier_count - context.settings.tier_index
         # A server holds its slot while it waits for the tiers behind it.
-        self._depth = max(1.0, self._tiers_left / CAPACITY.tiers_per_depth)
+        self._depth_factor = max(1.0, self._tiers_left / CAPACITY.reference_tiers)
         self._was_congested = False
         self._shedding = False
         self._adjusted_at = 0.0
@@ -105,60 +105,60 @@
         baseline = monitor.baseline_latency
         if baseline == math.inf:
             baseline = monitor.lowest_mean_latency
-        in_work = 0.0
+        in_service = 0.0
         if baseline < math.inf:
-            in_work = monitor.answer_rate.per_ms(self._context.now) * baseline
-        return max(self.start_limit(), CAPACITY.in_work_margin * self._depth * in_work)
+            in_service = monitor.answer_rate.per_ms(self._context.now) * baseline
+        return max(self.initial_limit(), CAPACITY.in_service_margin * self._depth_factor * in_service)
 
-    def start_limit(self) -> float:
+    def initial_limit(self) -> float:
         """The limit that a node starts with: its part of what the fleet may hold."""
-        warm_servers = max(1.0, self._slow_start.total_capacity() / self._sharing_nodes)
-        return CAPACITY.start_per_server * self._depth * warm_servers
+        warm_servers = max(1.0, self._slow_start.total_capacity() / self._sharing_node_count)
+        return CAPACITY.initial_per_server * self._depth_factor * warm_servers
 
     def on_endpoint_list(self) -> None:
         """Raise the limit with the fleet until the first congestion."""
         if not self._was_congested:
-            self.limit = max(self.limit, self.start_limit())
+            self.limit = max(self.limit, self.initial_limit())
 
-    def record_ratio(self, ratio: float) -> None:
+    def record_latency_ratio(self, ratio: float) -> None:
         """Record a latency as a part of its objective, and adjust the limit at intervals.
 
         The interval is the mean latency, with an upper bound: under overload latencies grow to the clients'
         deadline, and the limit would fall too slowly.
         """
         monitor, now = self._monitor, self._context.now
-        monitor.record_ratio(ratio)
-        interval = min(monitor.latency.mean, CONGESTION.baselines * monitor.baseline_latency)
+        monitor.record_latency_ratio(ratio)
+        interval = min(monitor.latency.mean, CONGESTION.max_baseline_multiple * monitor.baseline_latency)
         if now - self._adjusted_at < min(interval, self._context.objective_ms):
             return
         self._adjusted_at = now
         congested = monitor.congestion > 1.0
         if congested:
             self._was_congested = True
-            self._cut()
+            self._decrease()
         elif len(self._context.requests.attempts) + 1 >= GROWTH.min_used_fraction * self.limit:
             self._grow()
         self._log_shedding(congested)
 
     def _minimum(self) -> float:
         """The lowest limit: one attempt at each server for every tier left, which just keeps it busy."""
-        return self._tiers_left * len(self._context.endpoints.drawable) / self._sharing_nodes
+        return self._tiers_left * len(self._context.endpoints.selectable) / self._sharing_node_count
 
-    def _cut(self) -> None:
+    def _decrease(self) -> None:
         """Lower the limit, at most to what the best recent rate of responses needs when nothing queues.
 
         Lower cuts shed at random, and what is admitted afterwards overloads the servers again.
         """
         monitor = self._monitor
         unqueued_latency = min(monitor.baseline_latency, monitor.mean_latency)
-        needed = CUT.rate_margin * monitor.peak_rate * monitor.peak_fade() * unqueued_latency
-        factor = min(CUT.max_factor, max(CUT.min_factor, 1.0 / monitor.congestion))
+        needed = DECREASE.rate_margin * monitor.peak_rate * monitor.peak_decay_factor() * unqueued_latency
+        factor = min(DECREASE.max_factor, max(DECREASE.min_factor, 1.0 / monitor.congestion))
         # One deviation above the mean, as few attempts may be in flight at any one moment.
         recent_in_flight = max(1.0, monitor.mean_in_flight + math.sqrt(monitor.mean_in_flight))
         minimum = self._minimum()
-        if monitor.target_pressure < 1.0:
+        if monitor.target_congestion < 1.0:
             # A burst of heavy work doubles the latencies, which still meet their target: that is no overload.
-            minimum = max(minimum, self.start_limit())
+            minimum = max(minimum, self.initial_limit())
         self.limit = max(minimum, needed, min(self.limit, recent_in_flight) * factor)
 
     def _grow(self) -> None:
@@ -172,7 +172,7 @@
             return
         factor = GROWTH.factor if self._was_congested else GROWTH.initial_factor
         needed = GROWTH.rate_margin * monitor.baseline_latency * monitor.peak_rate
-        needed = max(needed, CAPACITY.start_per_server * self._minimum())
+        needed = max(needed, CAPACITY.initial_per_server * self._minimum())
         needed += math.sqrt(needed)
         self.limit = max(self.limit, min(self.limit * factor + 1.0, needed))
 
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -21,10 +21,10 @@
     """
 
     target_ratio: float = 0.4
-    target_baselines: float = 1.6
+    target_baseline_multiple: float = 1.6
     max_ratio: float = 1.2
-    baselines: float = 2.0
-    sparse_baselines: float = 1.5
+    max_baseline_multiple: float = 2.0
+    sparse_max_baseline_multiple: float = 1.5
 
 
 class AveragingParameters(NamedTuple):
@@ -38,7 +38,7 @@
 
     min_factor: float = 0.05
     max_factor: float = 0.2
-    objectives: float = 2.0
+    span_objectives: float = 2.0
 
 
 class BaselineParameters(NamedTuple):
@@ -53,7 +53,7 @@
 
     min_answers: int = 10
     min_mean_latencies: float = 20.0
-    follow_factor: float = 0.00003
+    smoothing_factor: float = 0.00003
 
 
 CONGESTION = CongestionParameters()
@@ -85,12 +85,12 @@
         tiers_left = settings.tier_count - settings.tier_index
         self._context = context
         self._objective_target_ratio = CONGESTION.target_ratio * tiers_left / settings.tier_count
-        self._averaging_ms = AVERAGING.objectives * context.objective_ms
+        self._averaging_ms = AVERAGING.span_objectives * context.objective_ms
         self._peak_decay_ms = PEAK_RATE_DECAY_OBJECTIVES * context.objective_ms
         self.latency = LatencyEstimator()
         self.class_latencies = [LatencyEstimator() for _ in context.settings.classes]
         self.congestion = 0.0
-        self.target_pressure = 0.0
+        self.target_congestion = 0.0
         self.mean_latency = 0.0
         self.baseline_latency = math.inf
         self.lowest_mean_latency = math.inf
@@ -101,7 +101,7 @@
         self._started_at: float | None = None
         self._answers = 0
         self._factor = AVERAGING.min_factor
-        self._ratio_at = 0.0
+        self._ratio_recorded_at = 0.0
         self._mean_ratio = 0.0
         self._baseline_ratio = 1.0
         self._long_mean_latency = 0.0  # always over about twenty responses
@@ -117,7 +117,7 @@
             return False
         return self._context.now - self._started_at >= BASELINE.min_mean_latencies * self.mean_latency
 
-    def peak_fade(self) -> float:
+    def peak_decay_factor(self) -> float:
         """The part of the best rate that is left; it decays with time, as an overload brings no responses."""
         return math.exp(-(self._context.now - self._peak_at) / self._peak_decay_ms)
 
@@ -125,51 +125,55 @@
         """Record the latency of a response, for the means, the baseline and the best rate."""
         now = self._context.now
         self._answers += 1
-        first_factor = 1.0 / self._answers
-        self.mean_latency += max(self._factor, first_factor) * (latency - self.mean_latency)
+        cumulative_factor = 1.0 / self._answers
+        self.mean_latency += max(self._factor, cumulative_factor) * (latency - self.mean_latency)
         # The lowest value of a short average lies far below any mean, so the baseline needs a longer one.
         mean = self._long_mean_latency
-        mean += max(AVERAGING.min_factor, first_factor) * (latency - mean)
+        mean += max(AVERAGING.min_factor, cumulative_factor) * (latency - mean)
         self._long_mean_latency = mean
         self.answer_rate.add(1.0, now)
         if self._answers >= BASELINE.min_answers:
             self.lowest_mean_latency = min(self.lowest_mean_latency, mean)
-        faded_peak_rate = self.peak_rate * self.peak_fade()
+        decayed_peak_rate = self.peak_rate * self.peak_decay_factor()
         self._peak_at = now
         if self.baseline_known():
             # A count of n is known to within its square root; the best of few responses is mostly chance.
             rate = self.answer_rate.per_ms(now)
-            self.peak_rate = max(faded_peak_rate, rate - math.sqrt(rate / self.answer_rate.time_constant_ms))
-            self._follow_baseline(mean)
+            self.peak_rate = max(
+                decayed_peak_rate, rate - math.sqrt(rate / self.answer_rate.time_constant_ms)
+            )
+            self._update_baseline(mean)
 
-    def record_ratio(self, ratio: float) -> None:
+    def record_latency_ratio(self, ratio: float) -> None:
         """Record a latency in latency objectives, and the attempts in flight, for the congestion."""
         now = self._context.now
-        factor = (now - self._ratio_at) / self._averaging_ms
-        self._ratio_at = now
+        factor = (now - self._ratio_recorded_at) / self._averaging_ms
+        self._ratio_recorded_at = now
         factor = min(max(factor, AVERAGING.min_factor), AVERAGING.max_factor)
         self._factor += AVERAGING.max_factor * (factor - self._factor)
         self._mean_ratio += self._factor * (min(ratio, CONGESTION.max_ratio) - self._mean_ratio)
         in_flight = len(self._context.requests.attempts)
         self.mean_in_flight += self._factor * (in_flight - self.mean_in_flight)
-        self.target_pressure = self._mean_ratio / self._target_ratio()
+        self.target_congestion = self._mean_ratio / self._target_ratio()
         bound = self._latency_bound()
-        self.congestion = max(self.target_pressure, self.mean_latency / bound if bound > 0 else 0.0)
+        self.congestion = max(self.target_congestion, self.mean_latency / bound if bound > 0 else 0.0)
 
-    def _follow_baseline(self, mean_latency: float) -> None:
+    def _update_baseline(self, mean_latency: float) -> None:
         self.baseline_latency = min(self.baseline_latency, mean_latency)
-        self.baseline_latency += BASELINE.follow_factor * (mean_latency - self.baseline_latency)
+        self.baseline_latency += BASELINE.smoothing_factor * (mean_latency - self.baseline_latency)
         self._baseline_ratio = min(self._baseline_ratio, self._mean_ratio)
-        self._baseline_ratio += BASELINE.follow_factor * (self._mean_ratio - self._baseline_ratio)
+        self._baseline_ratio += BASELINE.smoothing_factor * (self._mean_ratio - self._baseline_ratio)
 
     def _target_ratio(self) -> float:
         if self.baseline_latency == math.inf:
             return self._objective_target_ratio
         # Where even the baseline is near the target, the target alone would shed load without end.
-        return max(self._objective_target_ratio, CONGESTION.target_baselines * self._baseline_ratio)
+        return max(self._objective_target_ratio, CONGESTION.target_baseline_multiple * self._baseline_ratio)
 
     def _latency_bound(self) -> float:
         # Few responses show congestion late, when servers are overloaded already: they get a lower bound.
-        sparse = (self._factor - AVERAGING.min_factor) / (AVERAGING.max_factor - AVERAGING.min_factor)
-        baselines = CONGESTION.baselines + sparse * (CONGESTION.sparse_baselines - CONGESTION.baselines)
-        return baselines * self.baseline_latency
+        sparseness = (self._factor - AVERAGING.min_factor) / (AVERAGING.max_factor - AVERAGING.min_factor)
+        baseline_multiple = CONGESTION.max_baseline_multiple + sparseness * (
+            CONGESTION.sparse_max_baseline_multiple - CONGESTION.max_baseline_multiple
+        )
+        return baseline_multiple * self.baseline_latency
--- a/load_balancer/policy/endpoint_limits.py
+++ b/load_balancer/policy/endpoint_limits.py
@@ -52,6 +52,6 @@
 
     def fleet_rejects(self) -> bool:
         """Whether more endpoints reject than could be excluded: then the fleet itself is congested."""
-        records = self._context.endpoints.drawable
+        records = self._context.endpoints.selectable
         rejecting = sum(1 for record in records if record.concurrency.consecutive_rejections)
         return rejecting > FAILURES.max_ejected_fraction * len(records)
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -31,8 +31,8 @@
         jitter_min: the least factor by which a backoff is spread; the largest is 1.
     """
 
-    first_spread: float = 0.3
-    unanswered: float = 0.5
+    initial_spread: float = 0.3
+    response_timeout: float = 0.5
     backoff_first: float = 0.1
     backoff_max: float = 0.5
     max_doublings: int = 10
@@ -53,7 +53,7 @@
     weighted = context.settings.use_endpoint_weights
     weights = {name: max(e.weight, MIN_ENDPOINT_WEIGHT) if weighted else 1.0 for name, e in listed.items()}
     automaton.resize(weights, {name: e.machine_type for name, e in listed.items()})
-    table.drawable = [table.by_id[name] for name in automaton.endpoints]
+    table.selectable = [table.by_id[name] for name in automaton.endpoints]
 
 
 class EndpointListPoller:
@@ -70,7 +70,7 @@
         if kind is EndpointListKind.FAILED:
             self._on_failed_poll()
         elif kind is EndpointListKind.CACHED:
-            self._plan_first_poll()
+            self._schedule_first_poll()
         else:
             self._on_fresh_list()
 
@@ -83,21 +83,21 @@
         if not self._subscribed:
             context.actions.append(PollEndpointList())
             # The timeout of a poll and the backoff after it are bounded alike.
-            timeout_ms = min(POLL.unanswered * context.settings.poll_within_ms, 2 * POLL_BACKOFF_MAX_MS)
-            self._plan_poll(timeout_ms)
+            timeout_ms = min(POLL.response_timeout * context.settings.poll_within_ms, 2 * POLL_BACKOFF_MAX_MS)
+            self._schedule_poll(timeout_ms)
 
     def _on_failed_poll(self) -> None:
         self._subscribed = False
         self._failed_polls += 1
         if self._failed_polls == 1:
             self._context.log("endpoint_list_lost")
-        self._plan_poll(self._backoff_ms())
+        self._schedule_poll(self._backoff_ms())
 
-    def _plan_first_poll(self) -> None:
+    def _schedule_first_poll(self) -> None:
         context = self._context
         if context.settings.poll_endpoint_list:
-            spread_ms = min(POLL.first_spread * context.settings.poll_within_ms, POLL_BACKOFF_MAX_MS)
-            self._plan_poll(context.rng.random() * spread_ms)
+            spread_ms = min(POLL.initial_spread * context.settings.poll_within_ms, POLL_BACKOFF_MAX_MS)
+            self._schedule_poll(context.rng.random() * spread_ms)
 
     def _on_fresh_list(self) -> None:
         self._subscribed = True
@@ -113,7 +113,7 @@
         pause_ms = min(longest_ms, POLL.backoff_first * within_ms * 2.0**doublings)
         return pause_ms * (POLL.jitter_min + (1.0 - POLL.jitter_min) * self._context.rng.random())
 
-    def _plan_poll(self, pause_ms: float) -> None:
+    def _schedule_poll(self, pause_ms: float) -> None:
         """Plan the one next poll, in place of any planned before.
 
         With a timer for each failed poll beside the timeout of the poll itself, polls would double at each
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -19,7 +19,7 @@
 """The part of a latency that is proportional to the work that the request's cost hint predicts."""
 
 _FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED_RESPONSE)
-_GIVEN_UP = (Outcome.TIMEOUT, Outcome.CANCELLED)
+_TIMEOUT_OR_CANCELLED = (Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
 class OutcomeRecorder:
@@ -52,7 +52,7 @@
         since_response_ms = self._context.now - record.last_response_at
         if elapsed_ms > timeout_ms and since_response_ms >= elapsed_ms:
             # Averages need seven responses, which take most of a minute where requests are few.
-            self._outliers.cool_down_if_spare(record, LATE_COOLDOWN_FACTOR * elapsed_ms)
+            self._outliers.cool_down_if_replaceable(record, LATE_COOLDOWN_FACTOR * elapsed_ms)
         if outcome is Outcome.OK:
             self._record_success(attempt, elapsed_ms, request)
         elif outcome is Outcome.REJECTED or (
@@ -63,7 +63,7 @@
             self._record_failure(attempt, outcome, elapsed_ms)
         elif outcome is Outcome.CLIENT_ERROR:
             self.record_response(record)  # the request is at fault, not the server or the load
-        elif outcome in _GIVEN_UP and request is not None:
+        elif outcome in _TIMEOUT_OR_CANCELLED and request is not None:
             # Without a request the attempt was cancelled because another one was quicker.
             self._record_timeout(attempt, outcome, elapsed_ms, request)
 
@@ -83,7 +83,7 @@
         latency_ms = elapsed_ms / ((1.0 - COST_HINT_WEIGHT) + COST_HINT_WEIGHT * attempt.work)
         self._slow_start.record_answer(record, attempt.work)
         self._monitor.record_answer(latency_ms)
-        self._limit.record_ratio(elapsed_ms / objective_ms)
+        self._limit.record_latency_ratio(elapsed_ms / objective_ms)
         self._automaton.learn(record.endpoint.id, latency_ms)
         self._breakers.record_success(record, attempt.class_index)
         self._outliers.record_success(record)
@@ -93,7 +93,7 @@
         self._outliers.cool_down(record, self._endpoint_limits.record_rejection(record))
         self._automaton.learn_failure(record.endpoint.id, elapsed_ms)
         if self._endpoint_limits.fleet_rejects():
-            self._limit.record_ratio(1.0)
+            self._limit.record_latency_ratio(1.0)
 
     def _record_failure(self, attempt: Attempt, outcome: Outcome, elapsed_ms: float) -> None:
         record, class_index = attempt.record, attempt.class_index
@@ -101,7 +101,7 @@
             self.record_response(record)
         self._automaton.learn_failure(record.endpoint.id, elapsed_ms)
         self._breakers.record_failure(record, class_index)
-        if attempt.process_replaced():
+        if attempt.server_restarted():
             return
         if outcome is Outcome.ERROR and self._breakers.record_error(record, class_index):
             return
@@ -113,7 +113,7 @@
         """An attempt that was given up took at least this long; without it the timeouts would shorten."""
         self._monitor.latency.observe(elapsed_ms)
         self._monitor.class_latencies[request.class_index].observe(elapsed_ms)
-        self._limit.record_ratio(elapsed_ms / request.request_class.latency_objective_ms)
+        self._limit.record_latency_ratio(elapsed_ms / request.request_class.latency_objective_ms)
         self._automaton.learn_failure(attempt.record.endpoint.id, elapsed_ms)
-        if not attempt.process_replaced() and elapsed_ms >= self._monitor.latency.attempt_timeout():
+        if not attempt.server_restarted() and elapsed_ms >= self._monitor.latency.attempt_timeout():
             self._outliers.record_failure(attempt.record, outcome)
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -11,7 +11,7 @@
 from load_balancer.state.timer_queue import TimerKind
 
 
-def is_silent(record: EndpointRecord, timeout_ms: float, now: float) -> bool:
+def is_unresponsive(record: EndpointRecord, timeout_ms: float, now: float) -> bool:
     """Whether the attempts at an endpoint are overdue; the more are in flight the sooner they count."""
     if not record.in_flight:
         return False
@@ -55,13 +55,13 @@
         """Skip an endpoint for a while."""
         record.outlier.cooldown_until = self._context.now + duration_ms
 
-    def cool_down_if_spare(self, record: EndpointRecord, duration_ms: float) -> None:
+    def cool_down_if_replaceable(self, record: EndpointRecord, duration_ms: float) -> None:
         """Skip an endpoint for a while, unless too many of those that replace it are excluded already.
 
         Where crossing zones has a cost these are the endpoints of the own zone, so that no requests go
         across.
         """
-        now, records = self._context.now, self._context.endpoints.drawable
+        now, records = self._context.now, self._context.endpoints.selectable
         local = [records[i].outlier for i in self._subset.prefer_local(list(range(len(records))))]
         excluded = sum(1 for o in local if o.ejected or o.cooldown_until > now)
         if can_exclude(excluded, len(local), FAILURES.max_ejected_fraction):
@@ -90,11 +90,11 @@
             self._schedule_readmission(record)
 
     def _peer_failure_rate(self, record: EndpointRecord) -> float:
-        peers = [r.outlier for r in self._context.endpoints.drawable if r is not record]
+        peers = [r.outlier for r in self._context.endpoints.selectable if r is not record]
         return sum(o.failure_rate for o in peers if not o.ejected) / len(peers) if peers else 1.0
 
     def _may_eject(self, outlier: OutlierState, peer_rate: float) -> bool:
-        records = self._context.endpoints.drawable
+        records = self._context.endpoints.selectable
         return (
             outlier.failure_rate >= FAILURES.min_rate
             and outlier.failure_rate >= FAILURES.min_peer_multiple * peer_rate
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -5,8 +5,8 @@
 from load_balancer.actions import FailRequest, FinishReason, RejectRequest
 from load_balancer.events import Outcome
 from load_balancer.policy.congestion import CongestionMonitor
-from load_balancer.policy.outliers import is_silent
-from load_balancer.policy.selection import permitted
+from load_balancer.policy.outliers import is_unresponsive
+from load_balancer.policy.selection import permitted_indices
 from load_balancer.state.context import NodeContext
 from load_balancer.state.endpoint_records import EndpointRecord
 from load_balancer.state.request_records import Request
@@ -61,25 +61,25 @@
             Why it gets no retry; None where it gets one.
         """
         # A retry of an attempt that no server has seen is free.
-        costs = outcome is Outcome.REJECTED or request.first_possible_run() is not None
-        denial = self._denial(request, outcome, costs)
-        if denial is None and costs:
+        needs_token = outcome is Outcome.REJECTED or request.first_possible_run() is not None
+        denial_reason = self._denial_reason(request, outcome, needs_token)
+        if denial_reason is None and needs_token:
             self.spend()
-        return denial
+        return denial_reason
 
-    def _denial(self, request: Request, outcome: Outcome, costs: bool) -> FinishReason | None:
+    def _denial_reason(self, request: Request, outcome: Outcome, needs_token: bool) -> FinishReason | None:
         settings = self._context.settings
-        left = request.deadline - self._context.now
+        time_left_ms = request.deadline - self._context.now
         mean = self._monitor.class_latencies[request.class_index].mean
         if outcome is Outcome.CLIENT_ERROR:
             return FinishReason.CLIENT_ERROR
         if len(request.attempts) >= settings.max_attempts:
             return FinishReason.ATTEMPTS_EXHAUSTED
-        if left <= max(mean, PARAMETERS.min_time_left_ticks * settings.tick_ms):
+        if time_left_ms <= max(mean, PARAMETERS.min_time_left_ticks * settings.tick_ms):
             return FinishReason.OUT_OF_TIME
-        if costs and self.tokens < 1.0:
+        if needs_token and self.tokens < 1.0:
             return FinishReason.RETRY_BUDGET
-        return None if permitted(self._context, request) else FinishReason.NOT_REPEATABLE
+        return None if permitted_indices(self._context, request) else FinishReason.NOT_REPEATABLE
 
     def schedule_late_check(self, request: Request) -> None:
         """Schedule a check for when an attempt sent now is late, if another one could still be in time."""
@@ -100,8 +100,10 @@
         latencies of twice the baseline are no overload at an inner tier.
         """
         timeout = self._monitor.class_latencies[request.class_index].attempt_timeout()
-        silent = all(is_silent(a.record, timeout, self._context.now) for _, a in request.running())
-        return silent and self.tokens >= 1.0 and self._monitor.target_pressure < 1.0
+        unresponsive = all(
+            is_unresponsive(a.record, timeout, self._context.now) for _, a in request.attempts_in_flight()
+        )
+        return unresponsive and self.tokens >= 1.0 and self._monitor.target_congestion < 1.0
 
     def needs_new_connection(self, request: Request, record: EndpointRecord) -> bool:
         """Whether a non-idempotent request needs a new connection to this endpoint.
@@ -111,7 +113,7 @@
         ran. Latencies must meet their target, as handshakes add to an overload.
         """
         overdue = self._context.now - record.last_response_at > self._monitor.latency.mean
-        return overdue and self._monitor.target_pressure < 1.0 and not request.repeatable()
+        return overdue and self._monitor.target_congestion < 1.0 and not request.repeatable()
 
     def final_answer(self, request: Request, reason: FinishReason) -> RejectRequest | FailRequest:
         """The answer to a request that is not served: a rejection where the client may safely retry."""
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -3,11 +3,11 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from load_balancer.policy.admission import sharing_nodes
+from load_balancer.policy.admission import sharing_node_count
 from load_balancer.policy.automaton import Automaton
 from load_balancer.policy.circuit_breakers import admits_class
 from load_balancer.policy.congestion import CongestionMonitor
-from load_balancer.policy.outliers import is_silent
+from load_balancer.policy.outliers import is_unresponsive
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subset import EndpointSubset
 from load_balancer.settings import DeduplicationScope, Idempotency
@@ -68,9 +68,9 @@
     )
 
 
-def permitted(context: NodeContext, request: Request) -> Sequence[int]:
+def permitted_indices(context: NodeContext, request: Request) -> Sequence[int]:
     """The indices of the drawable endpoints that an attempt of this request may be sent to."""
-    records = context.endpoints.drawable
+    records = context.endpoints.selectable
     if not request.attempts:
         return range(len(records))
     return [i for i, record in enumerate(records) if permits(context, request, record)]
@@ -93,7 +93,7 @@
         self._slow_start = slow_start
         self._monitor = monitor
         # This node's part of the requests that may wait at a server.
-        self._max_waiting = max(1.0, PARAMETERS.max_waiting / sharing_nodes(context.settings))
+        self._max_waiting = max(1.0, PARAMETERS.max_waiting / sharing_node_count(context.settings))
 
     def draw(self, request: Request, final_attempt: bool) -> EndpointRecord | None:
         """The endpoint of the next attempt, None where none may get it."""
@@ -101,7 +101,7 @@
         if not candidates:
             return None
         position = self._automaton.draw(candidates, self._context.rng.random())
-        return self._context.endpoints.drawable[position]
+        return self._context.endpoints.selectable[position]
 
     def candidates(self, request: Request, final_attempt: bool) -> list[int]:
         """The indices that the draw is conditioned on.
@@ -114,7 +114,7 @@
         usable = allowed
         if not final_attempt:
             usable, unhealthy = self._healthy(allowed, request)
-            if excluded + unhealthy > PARAMETERS.panic_fraction * len(self._context.endpoints.drawable):
+            if excluded + unhealthy > PARAMETERS.panic_fraction * len(self._context.endpoints.selectable):
                 usable = allowed
         if request.attempts:
             usable = self._prefer_untried(usable, request, final_attempt)
@@ -125,7 +125,7 @@
 
         Where there are none it is all usable ones, unless the request has an attempt in flight.
         """
-        records = self._context.endpoints.drawable
+        records = self._context.endpoints.selectable
         tried = {attempt.endpoint.id for attempt in request.attempts}
         untried = [i for i in usable if records[i].endpoint.id not in tried]
         if untried or (request.in_flight and not final_attempt):
@@ -138,14 +138,14 @@
         Returns:
             Their indices, and the number of endpoints that circuit breakers exclude.
         """
-        now, records = self._context.now, self._context.endpoints.drawable
+        now, records = self._context.now, self._context.endpoints.selectable
         slow_start, class_index = self._slow_start, request.class_index
         capacity_fraction = slow_start.capacity_fraction
         allowed: list[int] = []
         excluded = 0
         warm_rate: float | None = None  # calculated once, and only if a server warms up
         min_rate = 0.0
-        for i in permitted(self._context, request):
+        for i in permitted_indices(self._context, request):
             record = records[i]
             fraction = capacity_fraction(record)
             if fraction < 1.0:
@@ -165,8 +165,8 @@
         Returns:
             Their indices, and the number of endpoints that are unhealthy.
         """
-        now, records = self._context.now, self._context.endpoints.drawable
-        p, averages = self._automaton.p, self._automaton.average
+        now, records = self._context.now, self._context.endpoints.selectable
+        p, averages = self._automaton.p, self._automaton.latency_averages
         mean = self._automaton.mean() or 0.0
         timeout, baseline = self._monitor.latency.attempt_timeout(), self._monitor.baseline_latency
         max_waiting = self._max_waiting
@@ -177,10 +177,10 @@
         for i in allowed:
             record = records[i]
             outlier, in_flight = record.outlier, len(record.in_flight)
-            if outlier.ejected or (in_flight and is_silent(record, timeout, now)):
+            if outlier.ejected or (in_flight and is_unresponsive(record, timeout, now)):
                 unhealthy += 1
                 continue
-            if outlier.on_trial and (in_flight or self._spared_from_trials(request)):
+            if outlier.on_trial and (in_flight or self._must_avoid_trials(request)):
                 continue
             if outlier.cooldown_until > now or in_flight + 1 > record.concurrency.limit:
                 continue
@@ -194,7 +194,7 @@
                 healthy.append(i)
         return healthy, unhealthy
 
-    def _spared_from_trials(self, request: Request) -> bool:
+    def _must_avoid_trials(self, request: Request) -> bool:
         """Whether a failed trial would lose the request for good, while other classes can take that risk."""
         classes = self._context.settings.classes
         has_repeatable = any(c.idempotency is not Idempotency.NON_IDEMPOTENT for c in classes)
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -56,7 +56,7 @@
 
     def all_warming(self) -> bool:
         """Whether no endpoint is both warm and not ejected, so that none shows what a warm one sustains."""
-        records = self._context.endpoints.drawable
+        records = self._context.endpoints.selectable
         return all(r.outlier.ejected or self.capacity_fraction(r) < 1.0 for r in records)
 
     def capacity_fraction(self, record: EndpointRecord) -> float:
@@ -74,7 +74,7 @@
     def total_capacity(self) -> float:
         """The capacity that all servers which are not ejected have at least, in warm servers."""
         fraction = self.capacity_fraction
-        return max(1.0, sum(fraction(r) for r in self._context.endpoints.drawable if not r.outlier.ejected))
+        return max(1.0, sum(fraction(r) for r in self._context.endpoints.selectable if not r.outlier.ejected))
 
     def rate_per_warm_server(self) -> float:
         """The rate of this node's answered work for each warm server's worth of capacity."""
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -33,23 +33,23 @@
     """The endpoints that this node prefers.
 
     Attributes:
-        chosen: whether each endpoint belongs to the subset, in the order of the probability vector.
+        in_subset: whether each endpoint belongs to the subset, in the order of the probability vector.
     """
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
-        self.chosen: list[bool] = []
+        self.in_subset: list[bool] = []
 
     def prefer_local(self, usable: list[int]) -> list[int]:
         """Of the usable endpoints those in the subset; else, where crossing has a cost, those in the zone.
 
         Either set must hold at least two; otherwise these are all usable endpoints.
         """
-        chosen = self.chosen
-        subset = [i for i in usable if chosen[i]]
+        in_subset = self.in_subset
+        subset = [i for i in usable if in_subset[i]]
         if len(subset) >= PARAMETERS.min_local:
             return subset
-        settings, records = self._context.settings, self._context.endpoints.drawable
+        settings, records = self._context.settings, self._context.endpoints.selectable
         if not settings.cross_zone_cost:
             return usable
         zone = [i for i in usable if records[i].endpoint.zone == settings.zone]
@@ -61,34 +61,34 @@
         Without subsets a node of many rarely sends to the same endpoint again, so that it learns little, and
         the number of connections grows with nodes times endpoints.
         """
-        settings, records = self._context.settings, self._context.endpoints.drawable
+        settings, records = self._context.settings, self._context.endpoints.selectable
         local = [r for r in records if not settings.cross_zone_cost or r.endpoint.zone == settings.zone]
         # A power of two, as all subsets depend on it: it must not follow every change of the list.
         subset_count = 1 << max(0, (len(local) // PARAMETERS.size).bit_length() - 1)
-        chosen = {r.endpoint.id for r in local}
+        subset_ids = {r.endpoint.id for r in local}
         many_nodes = settings.node_count * PARAMETERS.size >= PARAMETERS.min_nodes * len(records)
         if subset_count > 1 and many_nodes:
-            chosen = _assign(local, settings.node_index, subset_count)
-        self.chosen = [r.endpoint.id in chosen for r in records]
+            subset_ids = _select_subset(local, settings.node_index, subset_count)
+        self.in_subset = [r.endpoint.id in subset_ids for r in records]
 
 
-def _assign(records: Sequence[EndpointRecord], node_index: int, subset_count: int) -> set[EndpointId]:
+def _select_subset(records: Sequence[EndpointRecord], node_index: int, subset_count: int) -> set[EndpointId]:
     """The ids of a node's subset, with machine types in proportion.
 
     Endpoints lie on a ring by hash.  Each round of subset_count nodes has a ring of its own, on which the
     nodes are spaced evenly and take the endpoints that follow.  So all endpoints get the same number of
     nodes, and a new list changes few subsets.
     """
-    ring_number, place = divmod(node_index, subset_count)
-    start = place / subset_count
+    ring_number, ring_index = divmod(node_index, subset_count)
+    start = ring_index / subset_count
     rings: dict[int, list[tuple[float, EndpointId]]] = {}
     for record in records:
         distance = (_ring_position(record.endpoint.id, ring_number) - start) % 1.0
         rings.setdefault(record.endpoint.machine_type, []).append((distance, record.endpoint.id))
-    chosen: set[EndpointId] = set()
+    subset_ids: set[EndpointId] = set()
     for ring in rings.values():
-        chosen.update(name for _, name in sorted(ring)[: math.ceil(len(ring) / subset_count)])
-    return chosen
+        subset_ids.update(name for _, name in sorted(ring)[: math.ceil(len(ring) / subset_count)])
+    return subset_ids
 
 
 def _ring_position(endpoint_id: EndpointId, ring_number: int) -> float:
--- a/load_balancer/state/endpoint_records.py
+++ b/load_balancer/state/endpoint_records.py
@@ -55,7 +55,7 @@
     """
 
     failure_rate: float = 0.0
-    usual_failure_rate: float = 0.0
+    long_term_failure_rate: float = 0.0
     served: bool = False
     open_until: float = -math.inf
     half_open: bool = False
@@ -136,7 +136,7 @@
 
     def __init__(self) -> None:
         self.by_id: dict[EndpointId, EndpointRecord] = {}
-        self.drawable: list[EndpointRecord] = []
+        self.selectable: list[EndpointRecord] = []
 
     def apply(self, update: EndpointListUpdate, class_count: int, now: float) -> list[EndpointRecord]:
         """Apply an endpoint list; returns the records of endpoints that are new or have restarted.
--- a/load_balancer/state/request_records.py
+++ b/load_balancer/state/request_records.py
@@ -42,7 +42,7 @@
         """Whether its server may have executed it."""
         return self.outcome is None or self.outcome not in NOT_EXECUTED
 
-    def process_replaced(self) -> bool:
+    def server_restarted(self) -> bool:
         """Whether the server has restarted since the attempt was sent."""
         return self.endpoint.started_ms != self.record.endpoint.started_ms
 
@@ -95,7 +95,7 @@
         """The first attempt that a server may have executed."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run()), None)
 
-    def running(self) -> list[tuple[int, Attempt]]:
+    def attempts_in_flight(self) -> list[tuple[int, Attempt]]:
         """The attempts that are in flight, each with its number."""
         return [(number, a) for number, a in enumerate(self.attempts) if a.outcome is None]
 
--- a/tests/policy/test_automaton.py
+++ b/tests/policy/test_automaton.py
@@ -29,16 +29,21 @@
     automaton = fleet(1, 1, 1, 1)
     assert automaton.p == [0.25] * 4
     automaton.learn(NAMES[0], 100.0)  # every average's start, and no payoff against itself
-    assert automaton.average == [100.0] * 4 and automaton.p == [0.25] * 4
+    assert automaton.latency_averages == [100.0] * 4 and automaton.p == [0.25] * 4
     assert automaton.learn(NAMES[1], 60.0)
-    assert automaton.average[1] == pytest.approx(100 + AVERAGE_STEP * (60 - 100))
-    assert automaton.average[0] == automaton.average[2] == automaton.average[3] == 100.0
+    assert automaton.latency_averages[1] == pytest.approx(100 + AVERAGE_STEP * (60 - 100))
+    assert (
+        automaton.latency_averages[0]
+        == automaton.latency_averages[2]
+        == automaton.latency_averages[3]
+        == 100.0
+    )
     theta, low = 0.06 / 4, FLOOR / 4
     assert automaton.p[1] == pytest.approx(0.25 + theta * (1 - 3 * low - 0.25))
     assert automaton.p[0] == pytest.approx(0.25 + theta * (low - 0.25))
     before = list(automaton.p)
     assert not automaton.learn(NAMES[2], 500.0)  # a miss moves the average and leaves the vector alone
-    assert automaton.p == before and automaton.average[2] == pytest.approx(100 + AVERAGE_STEP * 400)
+    assert automaton.p == before and automaton.latency_averages[2] == pytest.approx(100 + AVERAGE_STEP * 400)
 
 
 @pytest.mark.parametrize("nodes", [1, 3, 40, 1000])
@@ -101,7 +106,7 @@
     automaton.learn_failure(NAMES[1], 1.0)  # a fast error counts as the mean
     assert automaton.p == before and automaton.mean() == pytest.approx(100.0)
     automaton.learn_failure(NAMES[1], 1e6)  # a long silence is capped
-    assert automaton.average[1] == pytest.approx(100 + AVERAGE_STEP * (3 * 100 - 100))
+    assert automaton.latency_averages[1] == pytest.approx(100 + AVERAGE_STEP * (3 * 100 - 100))
 
 
 def test_draw_is_the_vector_conditioned_on_the_eligible() -> None:
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -124,7 +124,7 @@
     requests = context.requests
     request = requests.by_id[host.arrive()]
     tried = request.attempts[0].endpoint.id
-    other, drained = (record for record in context.endpoints.drawable if record.endpoint.id != tried)
+    other, drained = (record for record in context.endpoints.selectable if record.endpoint.id != tried)
     host.update_endpoints([Endpoint(drained.endpoint.id, EndpointState.DRAINING)], EndpointListKind.DELTA)
     assert not may_send(context, request, drained)
     assert may_send(context, request, other) is hedging_allowed
