--- a/load_balancer/policy/__init__.py
+++ b/load_balancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the load balancer, without I/O."""
+"""The policy: all decisions of the load balancer.  It does no I/O."""
--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control before the concurrency limit: tenant quotas and queue timeouts."""
+"""Tenant quotas and queue timeouts, the part of admission control that precedes the concurrency limit."""
 
 from typing import NamedTuple
 
@@ -8,15 +8,17 @@
 
 
 class QueueParameters(NamedTuple):
-    """How long requests may queue.
+    """The limits on how long requests may wait in the queue.
 
-    The timeout is short: a rejected client retries in time, while a request that has queued for long takes
-    the place of a later one that would still be answered in time.
+    The timeout is short for two reasons.  A client whose request is rejected early can still retry before
+    its deadline.  A request that has queued for long occupies capacity that a later request could use and
+    still be answered in time.
 
     Attributes:
         timeout_objectives: the longest time in the queue, in latency objectives of the request's class.
-        max_budget_fraction: the longest time in the queue, as a part of what is left of the budget.
-        check_interval_objectives: the time between checks of the queue, in latency objectives.
+        max_budget_fraction: the longest time in the queue, as a fraction of the request's remaining budget.
+        check_interval_objectives: the longest time between two checks of the queue for expired requests, in
+            units of the shortest latency objective of any class.
     """
 
     timeout_objectives: float = 0.05
@@ -28,22 +30,26 @@
 
 
 def sharing_node_count(settings: Settings) -> int:
-    """The number of nodes among which the capacity is divided.
+    """Return the number of nodes among which the capacity of the endpoints is divided.
 
-    That is one at an inner tier: a request that is rejected there wastes the work done for it before.
+    At an inner tier the result is 1, so that each node may use the whole capacity: a request that is
+    rejected there wastes the work that the outer tiers have already done for it.
     """
     return 1 if settings.tier_index else settings.node_count
 
 
 def arrival_timeout_ms(request: Request, budget_ms: float, settings: Settings) -> float:
-    """How long a new request may queue; longer at an inner tier, where its rejection wastes earlier work."""
+    """Return how long a new request may queue, in milliseconds.
+
+    The time is longer at an inner tier, where a rejection wastes the work of the outer tiers.
+    """
     if settings.tier_index:
         return QUEUE.max_budget_fraction * budget_ms
     return retry_timeout_ms(request, budget_ms)
 
 
 def retry_timeout_ms(request: Request, left_ms: float) -> float:
-    """How long a request with this time left may queue for a further attempt."""
+    """Return how long a request may queue, in milliseconds, when ``left_ms`` remain until its deadline."""
     return min(
         QUEUE.timeout_objectives * request.request_class.latency_objective_ms,
         QUEUE.max_budget_fraction * left_ms,
@@ -51,12 +57,18 @@
 
 
 class TenantQuotas:
-    """A token bucket of one second's quota for each tenant; without effect at inner tiers."""
+    """A token bucket for each tenant, which holds the quota of one second.
+
+    Inner tiers have no buckets and admit every request, as the quotas apply to the first tier only.
+    """
 
     def __init__(self, settings: Settings) -> None:
         rates = [tenant.quota_per_s / settings.node_count for tenant in settings.tenants]
         self._buckets = [] if settings.tier_index else [TokenBucket(rate) for rate in rates]
 
     def admits(self, tenant: int, now: float) -> bool:
-        """Whether a request is within its tenant's quota; counts the request."""
+        """Count a request against its tenant's quota and return whether it is within the quota.
+
+        A request of an unknown tenant has no quota and is always admitted.
+        """
         return not 0 <= tenant < len(self._buckets) or self._buckets[tenant].take(now)
--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -1,7 +1,8 @@
-"""The two-time-scale learning automaton that spreads attempts over endpoints, in the published symbols.
+"""The two-time-scale learning automaton that distributes attempts over endpoints.
 
-p is the probability vector, r its length and p_min its floor; alpha is the smoothing factor of the latency
-averages, theta the learning rate of the vector.
+The names are the symbols of the published algorithm: p is the probability vector, r is its length and p_min
+is its floor; alpha is the smoothing factor of the latency averages, and theta is the learning rate of the
+vector.
 """
 
 from collections.abc import Mapping, Sequence
@@ -12,26 +13,30 @@
 
 
 class AutomatonParameters(NamedTuple):
-    """The rates of an automaton.  A node sees few responses, so both are far above the published ones.
+    """The parameters of an automaton.
 
-    Of N nodes each sees an N-th of the responses, while the random walks of their vectors cancel out in what
-    an endpoint gets from all of them: so both rates grow with N.
+    Alpha and theta are far larger than in the published algorithm, because a node sees few responses.  Both
+    grow with the number N of nodes: each node sees one N-th of the responses, and the random walks of the N
+    vectors cancel out in the sum that an endpoint receives from all nodes.
 
     Attributes:
-        alpha: the least smoothing factor; an average then spans about seven responses of its endpoint.
-        alpha_per_node: the smoothing factor for each node.
-        max_alpha: the largest one; an average still spans two responses.
-        theta_times_r: theta is at least this over r; with the floor the random walk of equal endpoints then
-            stays under a sixth of a share.
-        theta_times_r_per_node: theta for each node, times r; keeps the sum over all nodes as steady as
-            theta_times_r keeps that of three.  For machine types their number takes the place of r.
-        max_theta_per_alpha: the largest ratio of theta to alpha, as the averages must adapt well before the
-            shares of endpoints.
-        max_type_theta_per_alpha: the same for machine types, whose shares depend on the averages of many
-            endpoints.
-        floor_times_r: p_min is this over r; the floor also evens out the shares of equal endpoints.
-        new_endpoint_shares: the part of a mean share that a new endpoint gets; slow start bounds it further.
-        max_failure_means: the most that a failure enters an average as, in means.
+        alpha: the minimum smoothing factor; with it an average spans about seven responses of its endpoint.
+        alpha_per_node: the smoothing factor divided by the number of nodes, between alpha and max_alpha.
+        max_alpha: the maximum smoothing factor; with it an average still spans two responses.
+        theta_times_r: the minimum of theta, multiplied by r.  At this value, and with the floor, the random
+            walk of the shares of equally fast endpoints stays below a sixth of a share.
+        theta_times_r_per_node: theta multiplied by r and divided by the number of nodes.  It keeps the sum of
+            the shares over all nodes as steady as theta_times_r keeps the sum over three nodes.  For the
+            shares of machine types the number of types replaces r.
+        max_theta_per_alpha: the maximum ratio of theta to alpha, because the averages must adapt well before
+            the shares of endpoints do.
+        max_type_theta_per_alpha: the maximum ratio of theta_type to alpha.  It is larger, because the share
+            of a machine type depends on the averages of many endpoints.
+        floor_times_r: p_min multiplied by r; the floor also evens out the shares of equally fast endpoints.
+        new_endpoint_shares: the initial share of a new endpoint, as a multiple of the mean share; slow start
+            limits its load further.
+        max_failure_means: the maximum latency that a failure adds to an average, as a multiple of the mean of
+            all averages.
     """
 
     alpha: float = 0.15
@@ -50,15 +55,16 @@
 
 
 class Automaton:
-    """A floored probability vector over endpoints and a latency average for each.
+    """A probability vector over endpoints, with a floor, and a latency average for each endpoint.
 
     Attributes:
         endpoints: the ids of the endpoints, in the order of the vector.
-        p: the vector.
-        average: the latency averages; None before the first response, counts as the mean of the others.
+        p: the probability vector.
+        latency_averages: the latency average of each endpoint, in milliseconds.  It is None before the first
+            response of an endpoint, which then counts as having the mean of the other averages.
         alpha: the smoothing factor of the averages.
-        theta: the learning rate of the vector, set with the endpoints.
-        theta_type: the same between machine types; 0 where all endpoints are of one type.
+        theta: the learning rate of the vector, which depends on the number of endpoints.
+        theta_type: the learning rate of the shares of machine types; 0 if all endpoints are of one type.
     """
 
     def __init__(self, node_count: int = 1) -> None:
@@ -73,12 +79,17 @@
         self._index: dict[EndpointId, int] = {}
 
     def mean(self) -> float | None:
-        """The payoff threshold: the mean of all averages, None before any response."""
+        """Return the mean of all latency averages, the payoff threshold; None before the first response."""
         known = [a for a in self.latency_averages if a is not None]
         return sum(known) / len(known) if known else None
 
     def draw(self, eligible: Sequence[int], u: float) -> int:
-        """The index drawn by u in [0, 1) from the vector conditioned on the eligible."""
+        """Return one of the eligible indices, drawn with probabilities proportional to the vector.
+
+        Args:
+            eligible: the indices of the endpoints to draw from; it must not be empty.
+            u: a random number in [0, 1), which determines the result.
+        """
         p = self.p
         remaining = u * sum(p[i] for i in eligible)
         for i in eligible:
@@ -88,10 +99,10 @@
         return eligible[-1]
 
     def learn(self, endpoint_id: EndpointId, latency: float) -> bool:
-        """Learn from a response: update its endpoint's average, and the vector if it was a payoff.
+        """Update the average of an endpoint from a response, and the vector if the response was a payoff.
 
         Returns:
-            Whether it was a payoff: quicker than the mean of all averages.
+            Whether the response was a payoff: whether its latency was below the mean of all averages.
         """
         i = self._index.get(endpoint_id)
         if i is None:
@@ -110,9 +121,10 @@
         return True
 
     def learn_failure(self, endpoint_id: EndpointId, latency: float) -> None:
-        """Learn from a failure, which is no payoff.
+        """Update the average of an endpoint from a failure, which is never a payoff.
 
-        A fast error counts as the mean, and a timeout is bounded, so that neither moves the threshold far.
+        A failure that was faster than the mean of all averages counts as that mean, and a slow one as at most
+        max_failure_means times the mean, so that neither moves the payoff threshold far.
         """
         i = self._index.get(endpoint_id)
         mean = self.mean()
@@ -122,26 +134,29 @@
     def resize(
         self, weights: Mapping[EndpointId, float], types: Mapping[EndpointId, int] | None = None
     ) -> None:
-        """Change the set of endpoints: those that stay keep the ratios of their shares.
+        """Change the set of endpoints; the endpoints that stay keep the ratios of their shares.
 
         Args:
-            weights: the weight of each endpoint, by which new ones share.
-            types: the machine type of each endpoint; None where all are of one type.
+            weights: the weight of each endpoint in the new set; the shares of added endpoints are
+                proportional to it.
+            types: the machine type of each endpoint; None if all are of one type.
         """
-        staying = [name for name in self.endpoints if name in weights]
-        added = [name for name in weights if name not in self._index]
-        ratios = [self.p[self._index[name]] for name in staying]
-        averages = [self.latency_averages[self._index[name]] for name in staying]
+        staying = [endpoint_id for endpoint_id in self.endpoints if endpoint_id in weights]
+        added = [endpoint_id for endpoint_id in weights if endpoint_id not in self._index]
+        ratios = [self.p[self._index[endpoint_id]] for endpoint_id in staying]
+        averages = [self.latency_averages[self._index[endpoint_id]] for endpoint_id in staying]
         share_per_weight = 1.0
         if staying:
-            total_weight = sum(weights[name] for name in staying)
+            total_weight = sum(weights[endpoint_id] for endpoint_id in staying)
             share_per_weight = PARAMETERS.new_endpoint_shares * sum(ratios) / total_weight
         self.endpoints = staying + added
         self.latency_averages = averages + [None] * len(added)
-        self._index = {name: i for i, name in enumerate(self.endpoints)}
-        self._types = [types[name] if types else 0 for name in self.endpoints]
+        self._index = {endpoint_id: i for i, endpoint_id in enumerate(self.endpoints)}
+        self._types = [types[endpoint_id] if types else 0 for endpoint_id in self.endpoints]
         p_min = PARAMETERS.floor_times_r / len(self.endpoints) if self.endpoints else 0.0
-        self.p = apply_floor(ratios + [share_per_weight * weights[name] for name in added], p_min)
+        self.p = apply_floor(
+            ratios + [share_per_weight * weights[endpoint_id] for endpoint_id in added], p_min
+        )
         if self.endpoints:
             self._set_learning_rates()
 
@@ -156,10 +171,10 @@
         self.theta_type = theta_type if type_count > 1 else 0.0
 
     def _reinforce_type(self, machine_type: int, p_min: float) -> None:
-        """After a payoff, raise the shares of all endpoints of the machine type in proportion.
+        """Raise the shares of all endpoints of a machine type after a payoff, keeping their ratios.
 
-        In a large fleet a node's requests to one endpoint are too few to tell slow machines from fast ones
-        before the slow ones are overloaded.
+        In a large fleet a node sends too few requests to one endpoint to recognize slow machines by their
+        own latencies before these machines are overloaded.
         """
         theta, types = self.theta_type, self._types
         pairs = list(zip(self.p, types, strict=True))
@@ -169,9 +184,9 @@
         self.p = [x * growth if t == machine_type else x + theta * (p_min - x) for x, t in pairs]
 
     def _update_average(self, i: int, latency: float) -> float:
-        """Update the average of one endpoint; returns the payoff threshold for this latency."""
+        """Update the average of one endpoint and return the payoff threshold for this latency."""
         mean = self.mean()
-        if mean is None:  # the first response of all is every endpoint's starting value
+        if mean is None:  # the node's first response sets the initial average of every endpoint
             self.latency_averages = [latency] * len(self.latency_averages)
             return latency
         old = self.latency_averages[i]
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -1,7 +1,8 @@
-"""The decisions of one node: passes each event to the parts that decide; alone in answering requests.
+"""The balancer of one node, which passes each event to the components of the policy that decide on it.
 
-The ordinary path is a two-time-scale learning automaton; docs/design.md lists the exceptions to it.  Nothing
-here reads a clock or a global random source: time comes with each event, randomness from a seed.
+No other module sends attempts or answers requests.  A two-time-scale learning automaton normally chooses the
+endpoint of an attempt; docs/design.md lists the exceptions.  The policy reads neither a clock nor a global
+random source: the time comes with each event, and the random numbers come from a seed.
 """
 
 from load_balancer import events
@@ -28,14 +29,14 @@
 from load_balancer.state.timer_queue import TimerKind
 
 WORK_SMOOTHING_FACTOR = 0.02
-"""Of the mean cost hint, which spans about fifty requests."""
+"""The smoothing factor of the mean cost hint, which spans about fifty requests."""
 
 QUEUE_SCAN_LIMIT = 3
-"""Queued requests without a usable endpoint that are skipped for others."""
+"""The maximum number of queued requests without a usable endpoint that are skipped in one pass."""
 
 
 class Balancer:
-    """One node's decisions, as actions to carry out; its parts change by events alone."""
+    """The policy of one node, which turns events into actions; only events change its state."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -66,7 +67,11 @@
         self._quotas = admission.TenantQuotas(settings)
 
     def handle(self, event: events.Event, now: float) -> list[Action]:
-        """The actions that follow from one event.
+        """Handle one event and return the resulting actions, in the order in which to carry them out.
+
+        Args:
+            event: the event.
+            now: the time of the event in milliseconds, on the host's clock.
 
         Raises:
             UnexpectedEventError: the event names a request, attempt or class that never existed.
@@ -118,7 +123,7 @@
         self.queue.add(request, admission.arrival_timeout_ms(request, event.budget_ms, settings))
 
     def _priority(self, request_class: RequestClass, tenant: int, work: float) -> float:
-        """The priority of a request in the queue; counts it against its tenant's quota."""
+        """Count a request against its tenant's quota and return its priority in the queue."""
         priority = request_class.priority_weight
         if not self.settings.priority_by_work:
             priority /= work
@@ -159,7 +164,7 @@
 
     def _on_request_abandoned(self, event: events.RequestAbandoned) -> None:
         request = self.context.requests.take(event.request_id)
-        if request is not None:  # otherwise it was answered a moment ago
+        if request is not None:  # None if the request was answered before the event arrived
             self.queue.remove(request)
             self._cancel_attempts(request)
 
@@ -176,7 +181,10 @@
                     self.outliers.on_readmission_timer(timer.endpoint_id)
 
     def _on_late_attempt(self, request_id: events.RequestId) -> None:
-        """Hedge a late attempt, cancel it where hedging is forbidden, or check it again later."""
+        """Hedge a request whose attempt is late, cancel the attempt, or schedule another check.
+
+        The attempt is cancelled if the settings do not allow hedging.
+        """
         request = self.context.requests.by_id.get(request_id)
         if request is None or not request.in_flight or request.queued or request.response_started:
             return
@@ -195,13 +203,13 @@
         while skipped < len(queue) and skipped < QUEUE_SCAN_LIMIT:
             request = queue[skipped]
             if not self.concurrency.admits(request):
-                break  # a request of lower priority must not pass by the chance of its admission draw
+                break  # a request of lower priority must not overtake through a lower random admission draw
             if not self._dispatch(request, final_attempt=False):
                 skipped += 1
         queue.schedule_check()
 
     def _expire_queued(self) -> None:
-        """Give each request whose timeout in the queue has passed a final attempt, or else an answer."""
+        """Send a final attempt for each request whose queue timeout has passed, or finish the request."""
         for request in self.queue.expired():
             if not self.concurrency.admits(request):
                 self._finish(request, FinishReason.OVERLOADED)
@@ -209,12 +217,15 @@
                 self._finish(request, FinishReason.NO_ENDPOINT)
 
     def _dispatch(self, request: Request, *, final_attempt: bool) -> bool:
-        """Send the request's next attempt to an endpoint, if any may get it; says whether it was sent."""
+        """Send the request's next attempt if an endpoint is available, and return whether it was sent."""
         record = self.selector.draw(request, final_attempt)
         return record is not None and self._send(request, record)
 
     def _send(self, request: Request, record: EndpointRecord) -> bool:
-        """The one path that sends an attempt, if the rules allow it; slow start has admitted it before."""
+        """Send an attempt if ``may_send`` allows it, and return whether it was sent.
+
+        Every attempt is sent here.  The caller must have checked that slow start admits the attempt.
+        """
         context = self.context
         if not may_send(context, request, record):
             return False
@@ -229,7 +240,7 @@
         return True
 
     def _finish(self, request: Request, reason: FinishReason) -> None:
-        """The one path that answers a request that is not served."""
+        """Answer a request that is not served; every such answer is given here."""
         if self.context.requests.take(request.id) is None:
             return
         self.queue.remove(request)
@@ -237,7 +248,12 @@
         self._cancel_attempts(request)
 
     def _cancel_attempts(self, request: Request, keep: int | None = None) -> None:
-        """Cancel the attempts in flight except one, as no response of theirs is needed any more."""
+        """Cancel the request's attempts in flight, whose responses are no longer needed.
+
+        Args:
+            request: the request.
+            keep: the number of an attempt that is not cancelled; None to cancel all.
+        """
         if self.settings.cancel_allowed and request.in_flight:
             for number, _ in request.attempts_in_flight():
                 if number != keep:
--- a/load_balancer/policy/circuit_breakers.py
+++ b/load_balancer/policy/circuit_breakers.py
@@ -1,4 +1,4 @@
-"""Circuit breakers: an endpoint that fails one class of requests is excluded for that class alone."""
+"""Circuit breakers, which exclude an endpoint from one class of requests when it fails that class."""
 
 import math
 from typing import NamedTuple
@@ -10,13 +10,15 @@
 
 
 class CircuitBreakerParameters(NamedTuple):
-    """When a circuit breaker opens, beside FailureParameters.
+    """The conditions under which a circuit breaker opens, in addition to FailureParameters.
 
     Attributes:
-        usual_smoothing_factor: of the usual failure rate, which spans about twenty responses of an endpoint.
-        max_run_probability: a run of failures that the peers' usual rate makes more likely opens no breaker.
-        max_open_fraction: the part of the fleet whose breakers may be open for one class; these endpoints
-            serve the other classes, so no capacity is lost.
+        long_term_smoothing_factor: the smoothing factor of the long-term failure rate, which spans about
+            twenty responses of an endpoint.
+        max_run_probability: the maximum probability, at the peers' long-term failure rate, of a run of
+            failures that opens a closed breaker.
+        max_open_fraction: the fraction of the endpoints whose breakers may be open for one class.  These
+            endpoints still serve the other classes, so no capacity is lost.
     """
 
     long_term_smoothing_factor: float = 0.05
@@ -28,7 +30,11 @@
 
 
 def admits_class(record: EndpointRecord, class_index: int, now: float) -> bool:
-    """Whether a class is let through: while its breaker is closed, or for one trial while it is half-open."""
+    """Return whether an endpoint's circuit breaker admits an attempt of a class.
+
+    A closed breaker admits every attempt, a half-open breaker one at a time, as a trial, and an open breaker
+    none.
+    """
     breaker = record.breakers[class_index]
     if now < breaker.open_until:
         return False
@@ -36,13 +42,13 @@
 
 
 class PeerFailures(NamedTuple):
-    """How the other endpoints do with one class.
+    """The failures of one class at the peers of an endpoint, which are all other listed endpoints.
 
     Attributes:
-        rate: their failure rate; those that do not admit the class count as without failures.
-        usual_rate: the usual failure rate of those that admit the class.
-        excluded: the number of those that do not admit it.
-        endpoint_count: the number of all endpoints, the one in question included.
+        rate: the mean failure rate of the peers; peers that do not admit the class count as 0.
+        long_term_rate: the mean long-term failure rate of the peers that admit the class.
+        excluded: the number of peers that do not admit the class.
+        endpoint_count: the number of all listed endpoints, including the endpoint itself.
     """
 
     rate: float
@@ -51,10 +57,11 @@
     endpoint_count: int
 
     def allow_opening(self, failure_rate: float) -> bool:
-        """Whether an endpoint with this failure rate fails where its peers do not, and can be excluded.
+        """Return whether the breaker of an endpoint with this failure rate may open.
 
-        An error may come from a tier further in.  Where peers fail now and then it takes a longer run of
-        errors.
+        The endpoint must fail more often than its peers, and the number of excluded endpoints must stay below
+        its maximum.  An error may also be caused by a tier further in: the more often the peers fail over the
+        long term, the longer the run of errors that opens a breaker.
         """
         return (
             failure_rate >= max(FAILURES.min_rate, _rate_of_improbable_run(self.long_term_rate))
@@ -64,13 +71,16 @@
 
 
 class CircuitBreakers:
-    """The circuit breakers of each class at each endpoint; the only writer of their states."""
+    """The circuit breakers of each class at each endpoint.
+
+    Only this class and ``EndpointRecord.restart`` change their states.
+    """
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
 
     def record_success(self, record: EndpointRecord, class_index: int) -> None:
-        """A served attempt closes the breaker."""
+        """Record a served attempt, which closes a half-open breaker."""
         breaker = record.breakers[class_index]
         breaker.served = True
         breaker.half_open = False
@@ -80,7 +90,7 @@
             breaker.consecutive_openings = 0
 
     def record_failure(self, record: EndpointRecord, class_index: int) -> None:
-        """Count a failure of any kind in the usual rate, which opens no breaker."""
+        """Count a failure of any kind in the long-term failure rate; this never opens a breaker."""
         breaker = record.breakers[class_index]
         breaker.long_term_failure_rate += BREAKERS.long_term_smoothing_factor * (
             1.0 - breaker.long_term_failure_rate
@@ -89,11 +99,13 @@
     def record_error(self, record: EndpointRecord, class_index: int) -> bool:
         """Count an error response, which may open the breaker.
 
-        Errors of one class count against that class alone: an endpoint that is ejected for them comes back
-        after a trial with another class, and the failing class pays for each return.
+        Errors of one class exclude the endpoint from that class alone.  If they ejected the endpoint, it
+        would be readmitted after a trial with another class, and requests of the failing class would fail
+        again after each readmission.
 
         Returns:
-            Whether it counts against the class alone; False where the endpoint serves no other class well.
+            Whether the error counts against the class alone.  False means that the endpoint serves no other
+            class well, so that the error counts against the endpoint as a whole.
         """
         breaker = record.breakers[class_index]
         if self._context.now < breaker.open_until:
@@ -121,7 +133,7 @@
 
     def _open(self, record: EndpointRecord, class_index: int, peer_rate: float) -> None:
         breaker, request_class = record.breakers[class_index], self._context.settings.classes[class_index]
-        # A failed trial of a class that may not be repeated loses a request: trials are always far apart.
+        # A failed trial of a non-idempotent class loses a request, so these trials are always far apart.
         non_idempotent = request_class.idempotency is Idempotency.NON_IDEMPOTENT
         repetitions = PAUSES.max_doublings if non_idempotent else breaker.consecutive_openings
         pause_ms = draw_pause_ms(self._context, repetitions)
@@ -145,7 +157,11 @@
 
 
 def _rate_of_improbable_run(long_term_rate: float) -> float:
-    """The failure rate after a run of failures that this usual rate makes too unlikely for chance."""
+    """Return the failure rate after the shortest run of failures that is too improbable to be chance.
+
+    A run is too improbable if its probability, at this long-term failure rate, is at most
+    max_run_probability.
+    """
     if long_term_rate <= 0.0:
         return 0.0
     run_length = math.log(BREAKERS.max_run_probability) / math.log(long_term_rate)
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive concurrency limit: how many attempts of this node may be in flight."""
+"""The adaptive concurrency limit, which bounds the number of this node's attempts in flight."""
 
 import math
 from typing import NamedTuple
@@ -11,14 +11,16 @@
 
 
 class CapacityParameters(NamedTuple):
-    """What the listed servers sustain, independent of latencies.
+    """The number of attempts in flight that the listed servers sustain, regardless of current latencies.
 
     Attributes:
-        start_per_server: attempts in flight for each warm server's worth of capacity, at the start and as the
-            bound where few are in work.  A server with more waiting turns slow.  The figure is for two tiers:
-            with more tiers a server also holds the attempts that wait for those.
-        in_work_margin: the bound for each attempt in work, where responses take long.
-        tiers_per_depth: with this number of tiers left the depth, by which both are multiplied, is one.
+        initial_per_server: the attempts in flight per warm server's worth of capacity, both at the start and
+            as the bound while few attempts are in service.  A server with more attempts waiting becomes slow.
+            The value is for two tiers: with more tiers a server also holds the attempts that wait for the
+            tiers behind it.
+        in_service_margin: the bound per attempt in service; it applies if responses take long.
+        reference_tiers: the number of remaining tiers at which the depth factor, by which both bounds are
+            multiplied, is 1.
     """
 
     initial_per_server: float = 6.0
@@ -27,14 +29,14 @@
 
 
 class GrowthParameters(NamedTuple):
-    """How the limit grows while there is no congestion.
+    """The growth of the limit while there is no congestion.
 
     Attributes:
-        factor: the growth at each adjustment.
-        initial_factor: the growth until the first congestion.
-        min_used_fraction: the part of the limit that must be in use for it to grow.
-        rate_margin: the limit grows no further than this multiple of the attempts in flight that the best
-            rate of responses needs at the baseline latency.
+        factor: the factor by which the limit grows at each adjustment.
+        initial_factor: the factor that applies until the first congestion.
+        min_used_fraction: the fraction of the limit that must be in use for the limit to grow.
+        rate_margin: the maximum of the limit, as a multiple of the attempts in flight that sustain the peak
+            rate of responses at the baseline latency.
     """
 
     factor: float = 1.05
@@ -44,13 +46,14 @@
 
 
 class DecreaseParameters(NamedTuple):
-    """How the limit falls under congestion.
+    """The decrease of the limit under congestion.
 
     Attributes:
-        max_factor: the limit falls to this part at each adjustment, or less the stronger the congestion is.
-        min_factor: the limit falls to no less than this part at one adjustment.
-        rate_margin: it falls no further than this multiple of the attempts in flight that the best recent
-            rate of responses needs at the baseline latency.
+        max_factor: the largest factor applied at one adjustment; the stronger the congestion, the smaller the
+            factor.
+        min_factor: the smallest factor applied at one adjustment.
+        rate_margin: the minimum of the limit, as a multiple of the attempts in flight that sustain the recent
+            peak rate of responses at the baseline latency.
     """
 
     max_factor: float = 0.9
@@ -64,10 +67,11 @@
 
 
 class ConcurrencyLimit:
-    """The limit of attempts in flight, which follows congestion.
+    """The limit on this node's attempts in flight, which is adjusted according to congestion.
 
     Attributes:
-        limit: the limit, set by the first endpoint list; below one where many nodes share few requests.
+        limit: the limit.  It is 0 before the first endpoint list, and may be below 1 when many nodes share
+            few requests.
     """
 
     def __init__(self, context: NodeContext, slow_start: SlowStart, monitor: CongestionMonitor) -> None:
@@ -77,29 +81,31 @@
         self._monitor = monitor
         self._sharing_node_count = sharing_node_count(context.settings)
         self._tiers_left = context.settings.tier_count - context.settings.tier_index
-        # A server holds its slot while it waits for the tiers behind it.
+        # An attempt occupies its server while the server waits for the tiers behind it.
         self._depth_factor = max(1.0, self._tiers_left / CAPACITY.reference_tiers)
         self._was_congested = False
         self._shedding = False
         self._adjusted_at = 0.0
 
     def admits(self, request: Request) -> bool:
-        """Whether the limit leaves capacity for this request.
+        """Return whether the limit leaves capacity for an attempt of this request.
 
-        The limit may be below one, and whole numbers would admit far too many or too few requests over all
-        nodes.  So each request carries the random draw that settles the fraction.
+        The limit may be below 1, and rounding it to a whole number on every node would admit far too many or
+        too few requests over all nodes.  Each request therefore carries a random number, which decides
+        whether the fractional part of the limit admits the request.
         """
         in_flight = len(self._context.requests.attempts) + request.admission_draw
-        # The limit is learned once the baseline is known or there has been congestion.
+        # Until the baseline is known or congestion has occurred, only the capacity bound applies.
         learned = self._was_congested or self._monitor.baseline_latency < math.inf
         return (in_flight < self.limit or not learned) and in_flight < self.capacity_bound()
 
     def capacity_bound(self) -> float:
-        """The attempts in flight that the listed servers sustain, however quickly they respond.
+        """Return the number of attempts in flight that the listed servers sustain, as an upper bound.
 
-        It follows the endpoint list at once, where latencies show removed or warming servers seconds later.
-        By Little's law as many attempts are in work as are answered in the time of a response when nothing
-        queues; where responses take long by themselves these are more than at the start.
+        The bound reflects a new endpoint list at once, while latencies show the effect of removed or warming
+        servers only seconds later.  By Little's law, the number of attempts in service is the rate of
+        responses multiplied by the latency without queueing; if responses inherently take long, this
+        number exceeds the initial limit.
         """
         monitor = self._monitor
         baseline = monitor.baseline_latency
@@ -107,24 +113,24 @@
             baseline = monitor.lowest_mean_latency
         in_service = 0.0
         if baseline < math.inf:
-            in_service = monitor.answer_rate.per_ms(self._context.now) * baseline
+            in_service = monitor.response_rate.per_ms(self._context.now) * baseline
         return max(self.initial_limit(), CAPACITY.in_service_margin * self._depth_factor * in_service)
 
     def initial_limit(self) -> float:
-        """The limit that a node starts with: its part of what the fleet may hold."""
+        """Return the limit that a node starts with: its part of the capacity of all endpoints."""
         warm_servers = max(1.0, self._slow_start.total_capacity() / self._sharing_node_count)
         return CAPACITY.initial_per_server * self._depth_factor * warm_servers
 
     def on_endpoint_list(self) -> None:
-        """Raise the limit with the fleet until the first congestion."""
+        """Raise the limit to the initial limit of the new endpoint list, until the first congestion."""
         if not self._was_congested:
             self.limit = max(self.limit, self.initial_limit())
 
     def record_latency_ratio(self, ratio: float) -> None:
-        """Record a latency as a part of its objective, and adjust the limit at intervals.
+        """Record a latency as a fraction of its objective, and adjust the limit at regular intervals.
 
-        The interval is the mean latency, with an upper bound: under overload latencies grow to the clients'
-        deadline, and the limit would fall too slowly.
+        The interval is the mean latency, with an upper bound: under overload, latencies grow up to the
+        clients' deadline, and without the bound the limit would decrease too slowly.
         """
         monitor, now = self._monitor, self._context.now
         monitor.record_latency_ratio(ratio)
@@ -141,40 +147,47 @@
         self._log_shedding(congested)
 
     def _minimum(self) -> float:
-        """The lowest limit: one attempt at each server for every tier left, which just keeps it busy."""
+        """Return the minimum of the limit: one attempt per server and remaining tier.
+
+        This number is just enough to keep each server busy.
+        """
         return self._tiers_left * len(self._context.endpoints.selectable) / self._sharing_node_count
 
     def _decrease(self) -> None:
-        """Lower the limit, at most to what the best recent rate of responses needs when nothing queues.
+        """Decrease the limit, but not below the attempts that sustain the recent peak rate without queueing.
 
-        Lower cuts shed at random, and what is admitted afterwards overloads the servers again.
+        A lower limit would reject requests at random, and the requests admitted afterwards would overload
+        the servers again.
         """
         monitor = self._monitor
         unqueued_latency = min(monitor.baseline_latency, monitor.mean_latency)
-        needed = DECREASE.rate_margin * monitor.peak_rate * monitor.peak_decay_factor() * unqueued_latency
+        needed_in_flight = (
+            DECREASE.rate_margin * monitor.peak_rate * monitor.peak_decay_factor() * unqueued_latency
+        )
         factor = min(DECREASE.max_factor, max(DECREASE.min_factor, 1.0 / monitor.congestion))
-        # One deviation above the mean, as few attempts may be in flight at any one moment.
+        # One standard deviation above the mean, because few attempts may be in flight at a given moment.
         recent_in_flight = max(1.0, monitor.mean_in_flight + math.sqrt(monitor.mean_in_flight))
         minimum = self._minimum()
         if monitor.target_congestion < 1.0:
-            # A burst of heavy work doubles the latencies, which still meet their target: that is no overload.
+            # A burst of heavy requests may double the latencies; while they meet the target, the servers are
+            # not overloaded.
             minimum = max(minimum, self.initial_limit())
-        self.limit = max(minimum, needed, min(self.limit, recent_in_flight) * factor)
+        self.limit = max(minimum, needed_in_flight, min(self.limit, recent_in_flight) * factor)
 
     def _grow(self) -> None:
-        """Raise the limit, at most to what the best rate of responses needs by Little's law.
+        """Raise the limit, at most to the attempts that sustain the peak rate of responses by Little's law.
 
-        More attempts in flight would only queue, and latencies show that late.
+        More attempts in flight would only wait in queues, which latencies show late.
         """
         monitor = self._monitor
         if not monitor.baseline_known():
             self.limit = max(self.limit, self.capacity_bound())
             return
         factor = GROWTH.factor if self._was_congested else GROWTH.initial_factor
-        needed = GROWTH.rate_margin * monitor.baseline_latency * monitor.peak_rate
-        needed = max(needed, CAPACITY.initial_per_server * self._minimum())
-        needed += math.sqrt(needed)
-        self.limit = max(self.limit, min(self.limit * factor + 1.0, needed))
+        needed_in_flight = GROWTH.rate_margin * monitor.baseline_latency * monitor.peak_rate
+        needed_in_flight = max(needed_in_flight, CAPACITY.initial_per_server * self._minimum())
+        needed_in_flight += math.sqrt(needed_in_flight)
+        self.limit = max(self.limit, min(self.limit * factor + 1.0, needed_in_flight))
 
     def _log_shedding(self, shedding: bool) -> None:
         if shedding == self._shedding:
--- a/load_balancer/policy/endpoint_limits.py
+++ b/load_balancer/policy/endpoint_limits.py
@@ -1,4 +1,4 @@
-"""The concurrency limit of each endpoint, which follows the attempts that it rejects and serves."""
+"""The concurrency limit of each endpoint, adjusted by the attempts that the endpoint rejects and serves."""
 
 from typing import NamedTuple
 
@@ -8,13 +8,16 @@
 
 
 class EndpointLimitParameters(NamedTuple):
-    """How a rejection bounds what an endpoint gets.
+    """The changes of an endpoint's concurrency limit, and the cooldown after a rejection.
 
     Attributes:
-        decrease_factor: a rejection lowers the limit to this part of the attempts in flight there.
-        increase_per_round: attempts by which each full round of served ones raises it again.
-        cooldown_objectives: the first cooldown, in latency objectives; each consecutive one is twice as long.
-        max_cooldown_doublings: a server that drains rejects for seconds before the endpoint list says so.
+        decrease_factor: the fraction of the attempts in flight at the endpoint to which a rejection lowers
+            the limit.
+        increase_per_round: the increase of the limit, in attempts, after as many served attempts as the limit
+            allows in flight.
+        cooldown_objectives: the first cooldown, in latency objectives; each consecutive rejection doubles it.
+        max_cooldown_doublings: the maximum number of doublings.  It allows long cooldowns, because a draining
+            server rejects attempts for seconds before the endpoint list shows that it is draining.
     """
 
     decrease_factor: float = 0.9
@@ -27,22 +30,23 @@
 
 
 class EndpointLimits:
-    """The concurrency limits of endpoints; the only writer of their states.
+    """The concurrency limits of endpoints; only this class changes their states.
 
-    Without a limit, thousands of requests a second are sent to full servers, each at the cost of a handshake.
+    Without these limits, thousands of requests per second would be sent to servers that are at capacity, each
+    at the cost of a handshake.
     """
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
 
     def record_success(self, record: EndpointRecord) -> None:
-        """Raise the limit a little."""
+        """Record a served attempt, which raises the endpoint's limit slightly."""
         concurrency = record.concurrency
         concurrency.consecutive_rejections = 0
         concurrency.limit += LIMITS.increase_per_round / concurrency.limit
 
     def record_rejection(self, record: EndpointRecord) -> float:
-        """Lower the limit; returns how long the endpoint should cool down, in milliseconds."""
+        """Lower the endpoint's limit after a rejection and return its cooldown in milliseconds."""
         concurrency = record.concurrency
         limit = min(concurrency.limit, len(record.in_flight))
         concurrency.limit = max(1.0, LIMITS.decrease_factor * limit)
@@ -51,7 +55,10 @@
         return LIMITS.cooldown_objectives * 2.0**doublings * self._context.objective_ms
 
     def fleet_rejects(self) -> bool:
-        """Whether more endpoints reject than could be excluded: then the fleet itself is congested."""
+        """Return whether more endpoints reject attempts than may be ejected at once.
+
+        In this case the endpoints as a whole are congested.
+        """
         records = self._context.endpoints.selectable
         rejecting = sum(1 for record in records if record.concurrency.consecutive_rejections)
         return rejecting > FAILURES.max_ejected_fraction * len(records)
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which endpoints there are, and polling for the list with backoff."""
+"""Updates of the endpoint list, and polling for the list with backoff."""
 
 import math
 from typing import NamedTuple
@@ -11,24 +11,30 @@
 from load_balancer.state.timer_queue import TimerKind
 
 MAX_NOTIFICATION_DELAY_MS = 6000.0
-"""A node counts as notified of a change this long after discovery had it and could be reached."""
+"""The time after which a node counts as notified of a change that a reachable discovery service has."""
 
 POLL_BACKOFF_MAX_MS = MAX_NOTIFICATION_DELAY_MS / 6
-"""The longest backoff: two polls may fail within that delay, each with its timeout and its backoff."""
+"""The longest backoff between polls, in milliseconds.
+
+Within MAX_NOTIFICATION_DELAY_MS two polls may fail, each followed by its timeout and its backoff.
+"""
 
 MIN_ENDPOINT_WEIGHT = 1e-3
+"""The minimum weight of an endpoint; a smaller listed weight is raised to it."""
 
 
 class PollParameters(NamedTuple):
-    """The pauses between polls, as parts of the time within which the settings require a poll.
+    """The pauses between polls.
+
+    Durations are fractions of poll_within_ms, the longest time between two polls that the settings allow.
 
     Attributes:
-        first_spread: all nodes may start at once, so their first polls are spread over this part.
-        unanswered: a poll without an answer is repeated after this part.
-        backoff_first: the first backoff; each further one is twice as long.
+        initial_spread: the time over which the first polls are spread, as all nodes may start at once.
+        response_timeout: the time after which a poll without a response is repeated.
+        backoff_first: the first backoff; each further backoff is twice as long.
         backoff_max: the longest backoff.
-        max_doublings: the doublings after which the backoff grows no further in any case.
-        jitter_min: the least factor by which a backoff is spread; the largest is 1.
+        max_doublings: the maximum number of doublings of the backoff.
+        jitter_min: the smallest random factor applied to a backoff; the largest is 1.
     """
 
     initial_spread: float = 0.3
@@ -45,19 +51,22 @@
 def update_endpoints(
     context: NodeContext, automaton: Automaton, slow_start: SlowStart, event: EndpointListUpdate
 ) -> None:
-    """Bring the records of endpoints and the automaton up to date with the list."""
+    """Update the endpoint records and the automaton from an endpoint list."""
     table = context.endpoints
     for record in table.apply(event, len(context.settings.classes), context.now):
         slow_start.begin(record)
-    listed = {name: r.endpoint for name, r in table.by_id.items() if r.listed}
+    listed = {endpoint_id: r.endpoint for endpoint_id, r in table.by_id.items() if r.listed}
     weighted = context.settings.use_endpoint_weights
-    weights = {name: max(e.weight, MIN_ENDPOINT_WEIGHT) if weighted else 1.0 for name, e in listed.items()}
-    automaton.resize(weights, {name: e.machine_type for name, e in listed.items()})
-    table.selectable = [table.by_id[name] for name in automaton.endpoints]
+    weights = {
+        endpoint_id: max(e.weight, MIN_ENDPOINT_WEIGHT) if weighted else 1.0
+        for endpoint_id, e in listed.items()
+    }
+    automaton.resize(weights, {endpoint_id: e.machine_type for endpoint_id, e in listed.items()})
+    table.selectable = [table.by_id[endpoint_id] for endpoint_id in automaton.endpoints]
 
 
 class EndpointListPoller:
-    """Plans the polls for the endpoint list, with backoff while they fail."""
+    """Schedules the polls for the endpoint list, with backoff while polls fail."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
@@ -66,7 +75,7 @@
         self._poll_at = math.inf
 
     def on_list(self, kind: EndpointListKind) -> None:
-        """Plan the next poll after a list or a failed poll."""
+        """Handle an endpoint list or a failed poll, and schedule the next poll if one is needed."""
         if kind is EndpointListKind.FAILED:
             self._on_failed_poll()
         elif kind is EndpointListKind.CACHED:
@@ -75,14 +84,14 @@
             self._on_fresh_list()
 
     def on_timer(self) -> None:
-        """Poll, unless another poll has been planned instead or the list is subscribed to."""
+        """Poll for the list, unless a later poll is scheduled or the node is subscribed to the list."""
         context = self._context
         if context.now < self._poll_at:
             return
         self._poll_at = math.inf
         if not self._subscribed:
             context.actions.append(PollEndpointList())
-            # The timeout of a poll and the backoff after it are bounded alike.
+            # The timeout is bounded like the backoff, so that both fit into MAX_NOTIFICATION_DELAY_MS twice.
             timeout_ms = min(POLL.response_timeout * context.settings.poll_within_ms, 2 * POLL_BACKOFF_MAX_MS)
             self._schedule_poll(timeout_ms)
 
@@ -106,7 +115,7 @@
             self._failed_polls = 0
 
     def _backoff_ms(self) -> float:
-        """The time to the next poll after a failed one, with jitter."""
+        """Return the time until the next poll after a failed poll, in milliseconds, with jitter."""
         within_ms = self._context.settings.poll_within_ms
         longest_ms = min(POLL.backoff_max * within_ms, POLL_BACKOFF_MAX_MS)
         doublings = min(self._failed_polls - 1, POLL.max_doublings)
@@ -114,10 +123,10 @@
         return pause_ms * (POLL.jitter_min + (1.0 - POLL.jitter_min) * self._context.rng.random())
 
     def _schedule_poll(self, pause_ms: float) -> None:
-        """Plan the one next poll, in place of any planned before.
+        """Schedule the next poll, which replaces any poll that is already scheduled.
 
-        With a timer for each failed poll beside the timeout of the poll itself, polls would double at each
-        backoff.
+        If the timer after a failed poll did not replace the timeout of that poll, each of the two timers
+        would start a poll, and the number of polls would double at each backoff.
         """
         self._poll_at = self._context.now + pause_ms
         self._context.schedule(self._poll_at, TimerKind.ENDPOINT_LIST_POLL)
--- a/load_balancer/policy/failure_detection.py
+++ b/load_balancer/policy/failure_detection.py
@@ -1,4 +1,4 @@
-"""What the outlier detector and the circuit breakers share: failure rates and the pauses that follow."""
+"""Thresholds of failure rates and durations of exclusions, for outlier detection and circuit breakers."""
 
 from typing import NamedTuple
 
@@ -6,17 +6,19 @@
 
 
 class FailureParameters(NamedTuple):
-    """When failures are held against an endpoint; always in comparison with its peers.
+    """The conditions under which failures exclude an endpoint, always in comparison with its peers.
 
     Attributes:
-        smoothing_factor: of a failure rate; two failures in a row exceed min_rate, one never does.
-        malformed_smoothing_factor: the same for malformed responses, which any server sends now and then:
-            four in a row exceed min_rate, three do not.
+        smoothing_factor: the smoothing factor of a failure rate.  Two failures in a row raise the rate above
+            min_rate, a single failure never does.
+        malformed_smoothing_factor: the smoothing factor for malformed responses, which any server sends now
+            and then.  Four in a row raise the rate above min_rate, three do not.
         min_rate: the failure rate from which an endpoint may be excluded.
-        min_peer_multiple: the multiple of its peers' rate that it must reach as well, so that a shared cause
-            excludes no endpoint.
-        recovered_rate: below this failure rate the next pause is the shortest again.
-        max_ejected_fraction: the part of the fleet that may be ejected at once.
+        min_peer_multiple: the multiple of the peers' failure rate that an endpoint's rate must also reach, so
+            that a cause common to all endpoints excludes none.
+        recovered_rate: the failure rate below which an endpoint has recovered, so that its next pause is the
+            shortest again.
+        max_ejected_fraction: the fraction of the endpoints that may be ejected at once.
     """
 
     smoothing_factor: float = 0.3
@@ -28,20 +30,20 @@
 
 
 class PauseParameters(NamedTuple):
-    """How long an endpoint or a class stays excluded.
+    """The duration of a pause, during which an endpoint is excluded from one class or from all.
 
-    The unit is the warm-up time, as the usual cure is a restart.  Where servers warm up in a second that
-    would be too short: most causes last for many responses, so the unit has a least value in latency
-    objectives.
+    The unit is the warm-up time, because a restart usually resolves the failure.  If servers warm up within a
+    second, this unit would be too short, as most causes last for many responses; therefore the unit has a
+    minimum in latency objectives.
 
     Attributes:
-        default_unit_ms: the unit where the settings name no warm-up time.
-        min_unit_objectives: the least unit, in latency objectives.
-        first_units: the first pause; each further one is twice as long.
-        max_units: the longest pause.
-        max_doublings: more would exceed max_units by far.
-        jitter_min: the least factor by which a pause is spread.
-        jitter_range: the width of the range of that factor.
+        default_unit_ms: the unit if the settings contain no warm-up time, in milliseconds.
+        min_unit_objectives: the minimum of the unit, in latency objectives.
+        first_units: the first pause, in units; each further pause is twice as long.
+        max_units: the longest pause, in units.
+        max_doublings: the maximum number of doublings; more would exceed max_units by far.
+        jitter_min: the smallest random factor applied to a pause.
+        jitter_range: the difference between the largest and the smallest random factor.
     """
 
     default_unit_ms: float = 10_000.0
@@ -58,12 +60,18 @@
 
 
 def can_exclude(excluded: int, count: int, max_fraction: float) -> bool:
-    """Whether one more endpoint may be excluded, out of this number."""
+    """Return whether one more endpoint may be excluded.
+
+    Args:
+        excluded: the number of endpoints that are already excluded.
+        count: the number of all endpoints.
+        max_fraction: the fraction of all endpoints that may be excluded; one endpoint always may be.
+    """
     return excluded + 1 <= max(1.0, max_fraction * count)
 
 
 def draw_pause_ms(context: NodeContext, repetitions: int) -> float:
-    """The length of an exclusion after this number of earlier ones, with jitter."""
+    """Return the random duration of a pause in milliseconds, after this number of earlier pauses."""
     units = min(PAUSES.max_units, PAUSES.first_units * 2.0 ** min(repetitions, PAUSES.max_doublings))
     warm_up_ms = context.settings.warm_up_ms or PAUSES.default_unit_ms
     unit_ms = max(warm_up_ms, PAUSES.min_unit_objectives * context.objective_ms)
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt says of its endpoint, of its class and of the load."""
+"""Recording of attempt outcomes, from which the components of the policy learn."""
 
 from load_balancer.events import AttemptEnded, Outcome
 from load_balancer.policy.automaton import Automaton
@@ -13,17 +13,20 @@
 from load_balancer.state.request_records import Attempt, Request
 
 LATE_COOLDOWN_FACTOR = 2.0
-"""An endpoint that sent nothing else during a late attempt cools down for this multiple of its time."""
+"""The cooldown of an endpoint that sent no response during a late attempt, as a multiple of its duration."""
 
 COST_HINT_WEIGHT = 0.5
-"""The part of a latency that is proportional to the work that the request's cost hint predicts."""
+"""The fraction of a latency that is proportional to the work that the request's cost hint predicts."""
 
 _FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MALFORMED_RESPONSE)
 _TIMEOUT_OR_CANCELLED = (Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
 class OutcomeRecorder:
-    """Passes each outcome to the parts that learn from it; the only writer of ``last_response_at``."""
+    """Passes each outcome to the components that learn from it.
+
+    Only this class and ``EndpointRecord.restart`` change ``last_response_at``.
+    """
 
     def __init__(
         self,
@@ -46,12 +49,18 @@
         self._endpoint_limits = endpoint_limits
 
     def record(self, attempt: Attempt, event: AttemptEnded, request: Request | None) -> None:
-        """Record an outcome; its request is None where it has had its final answer."""
+        """Record the outcome of an attempt.
+
+        Args:
+            attempt: the attempt.
+            event: the event that reports its outcome.
+            request: the request of the attempt; None if it has already received its final answer.
+        """
         record, outcome, elapsed_ms = attempt.record, event.outcome, event.elapsed_ms
         timeout_ms = self._monitor.latency.attempt_timeout()
         since_response_ms = self._context.now - record.last_response_at
         if elapsed_ms > timeout_ms and since_response_ms >= elapsed_ms:
-            # Averages need seven responses, which take most of a minute where requests are few.
+            # The averages need seven responses, which take most of a minute if requests are few.
             self._outliers.cool_down_if_replaceable(record, LATE_COOLDOWN_FACTOR * elapsed_ms)
         if outcome is Outcome.OK:
             self._record_success(attempt, elapsed_ms, request)
@@ -62,13 +71,13 @@
         elif outcome in _FAILURES:
             self._record_failure(attempt, outcome, elapsed_ms)
         elif outcome is Outcome.CLIENT_ERROR:
-            self.record_response(record)  # the request is at fault, not the server or the load
+            self.record_response(record)  # the request is the cause, neither the server nor the load
         elif outcome in _TIMEOUT_OR_CANCELLED and request is not None:
-            # Without a request the attempt was cancelled because another one was quicker.
+            # If the request is None, the attempt was cancelled because another attempt responded first.
             self._record_timeout(attempt, outcome, elapsed_ms, request)
 
     def record_response(self, record: EndpointRecord) -> None:
-        """An endpoint has sent any response or begun one."""
+        """Record that an endpoint has just sent a response, or the start of a streamed response."""
         record.last_response_at = self._context.now
 
     def _record_success(self, attempt: Attempt, elapsed_ms: float, request: Request | None) -> None:
@@ -79,7 +88,7 @@
         if request is not None:
             self._monitor.class_latencies[request.class_index].observe(elapsed_ms)
             objective_ms = request.request_class.latency_objective_ms
-        # Heavy work says little of its server or of the load.
+        # A long latency of heavy work says little about its server or the load.
         latency_ms = elapsed_ms / ((1.0 - COST_HINT_WEIGHT) + COST_HINT_WEIGHT * attempt.work)
         self._slow_start.record_answer(record, attempt.work)
         self._monitor.record_answer(latency_ms)
@@ -89,7 +98,10 @@
         self._outliers.record_success(record)
 
     def _record_rejection(self, record: EndpointRecord, elapsed_ms: float) -> None:
-        """An endpoint that answers others but accepts no further request or connection is full, not dead."""
+        """Record that an endpoint rejected an attempt or a connection.
+
+        An endpoint that recently responded to other attempts has reached its capacity; it has not failed.
+        """
         self._outliers.cool_down(record, self._endpoint_limits.record_rejection(record))
         self._automaton.learn_failure(record.endpoint.id, elapsed_ms)
         if self._endpoint_limits.fleet_rejects():
@@ -110,7 +122,11 @@
     def _record_timeout(
         self, attempt: Attempt, outcome: Outcome, elapsed_ms: float, request: Request
     ) -> None:
-        """An attempt that was given up took at least this long; without it the timeouts would shorten."""
+        """Record an attempt that timed out or was cancelled.
+
+        The elapsed time is a lower bound of its latency.  Leaving it out would make the estimated latencies,
+        and with them the attempt timeouts, too short.
+        """
         self._monitor.latency.observe(elapsed_ms)
         self._monitor.class_latencies[request.class_index].observe(elapsed_ms)
         self._limit.record_latency_ratio(elapsed_ms / request.request_class.latency_objective_ms)
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: endpoints that fail where their peers do not are skipped or ejected."""
+"""Outlier detection, which skips or ejects endpoints that fail more often than their peers."""
 
 import math
 
@@ -12,7 +12,16 @@
 
 
 def is_unresponsive(record: EndpointRecord, timeout_ms: float, now: float) -> bool:
-    """Whether the attempts at an endpoint are overdue; the more are in flight the sooner they count."""
+    """Return whether an endpoint has attempts in flight and has not responded for too long.
+
+    The time is measured from its last response, or from the start of its oldest attempt in flight if that
+    is later.  The more attempts are in flight, the sooner the endpoint counts as unresponsive.
+
+    Args:
+        record: the record of the endpoint.
+        timeout_ms: the time that is too long if one attempt is in flight.
+        now: the present time in milliseconds.
+    """
     if not record.in_flight:
         return False
     since = max(next(iter(record.in_flight.values())), record.last_response_at)
@@ -20,9 +29,10 @@
 
 
 class OutlierDetector:
-    """Ejects endpoints, at most a part of the fleet, for longer each time, and readmits them on trial.
+    """Ejects outliers and readmits them on trial.
 
-    It alone writes the outlier states of endpoints.
+    At most a fraction of the endpoints is ejected at once, and each consecutive ejection of an endpoint lasts
+    longer.  Only this class and ``EndpointRecord.restart`` change the outlier states of endpoints.
     """
 
     def __init__(self, context: NodeContext, subset: EndpointSubset) -> None:
@@ -30,7 +40,7 @@
         self._subset = subset
 
     def record_success(self, record: EndpointRecord) -> None:
-        """A served attempt ends a trial."""
+        """Record a served attempt, which ends a trial of its endpoint."""
         outlier = record.outlier
         outlier.failure_rate -= FAILURES.smoothing_factor * outlier.failure_rate
         if outlier.on_trial:
@@ -40,7 +50,7 @@
             outlier.consecutive_ejections = 0
 
     def record_failure(self, record: EndpointRecord, outcome: Outcome) -> None:
-        """A failure may eject its endpoint, if its peers do not fail alike."""
+        """Record a failure, which may eject its endpoint unless the peers fail as well."""
         outlier = record.outlier
         malformed = outcome is Outcome.MALFORMED_RESPONSE
         factor = FAILURES.malformed_smoothing_factor if malformed else FAILURES.smoothing_factor
@@ -52,14 +62,14 @@
             self._eject(record, outcome, peer_rate)
 
     def cool_down(self, record: EndpointRecord, duration_ms: float) -> None:
-        """Skip an endpoint for a while."""
+        """Skip an endpoint for this duration."""
         record.outlier.cooldown_until = self._context.now + duration_ms
 
     def cool_down_if_replaceable(self, record: EndpointRecord, duration_ms: float) -> None:
-        """Skip an endpoint for a while, unless too many of those that replace it are excluded already.
+        """Skip an endpoint for this duration, unless too many possible replacements are already excluded.
 
-        Where crossing zones has a cost these are the endpoints of the own zone, so that no requests go
-        across.
+        The possible replacements are the endpoints that the subset prefers.  If attempts in other zones have
+        a cost, these are endpoints of the node's own zone, so that skipping sends no attempts to other zones.
         """
         now, records = self._context.now, self._context.endpoints.selectable
         local = [records[i].outlier for i in self._subset.prefer_local(list(range(len(records))))]
@@ -68,24 +78,24 @@
             self.cool_down(record, duration_ms)
 
     def on_readmission_timer(self, endpoint_id: EndpointId) -> None:
-        """Check an ejected endpoint's health, or put it on trial where health checks are not allowed."""
+        """Start a health check of an ejected endpoint, or put it on trial if checks are not allowed."""
         record = self._context.endpoints.by_id.get(endpoint_id)
         if record is None or not record.outlier.ejected:
-            return  # it has been removed or has restarted meanwhile
+            return  # the endpoint has been removed or has restarted in the meantime
         if self._context.settings.health_checks_allowed and record.listed:
             self._context.actions.append(CheckHealth(endpoint_id))
         else:
             _put_on_trial(record.outlier)
 
     def on_health_check(self, event: HealthCheckEnded) -> None:
-        """Put an endpoint that passes its health check on trial; check one that fails it again later."""
+        """Put an endpoint on trial if it passed its health check, else schedule the next health check."""
         record = self._context.endpoints.by_id.get(event.endpoint_id)
         if record is None or not record.outlier.ejected:
-            return  # it has been removed or has restarted meanwhile
+            return  # the endpoint has been removed or has restarted in the meantime
         if event.outcome is Outcome.OK:
             _put_on_trial(record.outlier)
         else:
-            # Health checks are cheap, so they continue at a steady pace.
+            # Health checks are cheap, so the interval between them does not grow.
             record.outlier.consecutive_ejections = min(record.outlier.consecutive_ejections, 1)
             self._schedule_readmission(record)
 
@@ -114,12 +124,13 @@
             failure_rate=outlier.failure_rate,
             peer_failure_rate=peer_rate,
         )
-        # Idle connections may lead to a dead process; one that cannot be opened proves that nothing ran.
+        # Idle connections may lead to a process that has ended.  An attempt on a new connection is safer: if
+        # the connection cannot be established, the attempt has certainly not been executed.
         self._context.actions.append(CloseIdleConnections(endpoint_id))
         self._schedule_readmission(record)
 
     def _schedule_readmission(self, record: EndpointRecord) -> None:
-        """Schedule the next trial of an ejected endpoint, later each time."""
+        """Schedule the readmission of an ejected endpoint, after a longer pause each time."""
         outlier = record.outlier
         at = self._context.now + draw_pause_ms(self._context, outlier.consecutive_ejections)
         outlier.consecutive_ejections += 1
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -1,4 +1,4 @@
-"""Further attempts of a request (retries and hedged requests) and the final answer to one not served."""
+"""Retries, hedged requests, and the final answer to a request that is not served."""
 
 from typing import NamedTuple
 
@@ -14,13 +14,15 @@
 
 
 class RetryParameters(NamedTuple):
-    """The budget of further attempts, and when rejected clients may return.
+    """The retry budget, and the time after which clients may retry rejected requests.
+
+    A token of the budget pays for one further attempt of a request: a retry or a hedged request.
 
     Attributes:
-        tokens_per_arrival: the further attempts that each arrival earns.
-        max_tokens: the further attempts that the budget holds at the most.
-        initial_tokens: those that it starts with.
-        min_time_left_ticks: a retry needs at least this much time, in ticks of the host.
+        tokens_per_arrival: the tokens that each arriving request adds.
+        max_tokens: the maximum number of tokens.
+        initial_tokens: the number of tokens at the start.
+        min_time_left_ticks: the minimum time before the deadline for a retry, in ticks of the host.
         retry_after_objectives: the Retry-After of a rejection, in latency objectives of the request's class.
     """
 
@@ -35,10 +37,10 @@
 
 
 class RetryPolicy:
-    """Decides on further attempts, within a budget that arrivals earn.
+    """Decides on retries and hedged requests, within a budget that arriving requests fill.
 
     Attributes:
-        tokens: the further attempts that the budget has left.
+        tokens: the tokens left in the retry budget.
     """
 
     def __init__(self, context: NodeContext, monitor: CongestionMonitor) -> None:
@@ -47,20 +49,25 @@
         self._monitor = monitor
 
     def record_arrival(self) -> None:
-        """Earn a part of a further attempt."""
+        """Add the tokens of an arriving request to the retry budget."""
         self.tokens = min(PARAMETERS.max_tokens, self.tokens + PARAMETERS.tokens_per_arrival)
 
     def spend(self) -> None:
-        """Pay for a further attempt."""
+        """Take a token for a further attempt out of the retry budget."""
         self.tokens -= 1.0
 
     def take_retry(self, request: Request, outcome: Outcome) -> FinishReason | None:
-        """Grant a retry to a request whose last attempt ended with this outcome, and pay for it.
+        """Decide whether a request may be retried, and take a token for the retry if it needs one.
+
+        Args:
+            request: the request, which has no attempt in flight.
+            outcome: the outcome of its last attempt.
 
         Returns:
-            Why it gets no retry; None where it gets one.
+            The reason why the request may not be retried; None if it may.
         """
-        # A retry of an attempt that no server has seen is free.
+        # A retry needs no token if no server has received the last attempt and none may have executed an
+        # earlier attempt.
         needs_token = outcome is Outcome.REJECTED or request.first_possible_run() is not None
         denial_reason = self._denial_reason(request, outcome, needs_token)
         if denial_reason is None and needs_token:
@@ -82,7 +89,11 @@
         return None if permitted_indices(self._context, request) else FinishReason.NOT_REPEATABLE
 
     def schedule_late_check(self, request: Request) -> None:
-        """Schedule a check for when an attempt sent now is late, if another one could still be in time."""
+        """Schedule a check at the time when an attempt sent now will be late.
+
+        No check is scheduled if the request may not be repeated, if it has no attempt left, or if another
+        attempt sent at that time would probably miss the deadline.
+        """
         latency = self._monitor.class_latencies[request.class_index]
         at = self._context.now + latency.attempt_timeout()
         if (
@@ -93,11 +104,12 @@
             self._context.schedule(at, TimerKind.LATE_ATTEMPT, request.id)
 
     def may_hedge(self, request: Request) -> bool:
-        """Whether a request whose attempt is late may have a second one, beside it or in its place.
+        """Return whether a request whose attempt is late may be hedged, or its attempt cancelled and retried.
 
-        Its server must be silent: one that answers others is busy with long work, which a cancellation would
-        waste.  The budget must last, and latencies must meet their target; the baseline does not matter, as
-        latencies of twice the baseline are no overload at an inner tier.
+        All endpoints with an attempt of the request in flight must be unresponsive: an endpoint that responds
+        to other attempts is probably busy with long work, which a cancellation would waste.  The retry budget
+        must have a token, and latencies must meet their target.  The comparison with the baseline does not
+        matter, because latencies of twice the baseline are no overload at an inner tier.
         """
         timeout = self._monitor.class_latencies[request.class_index].attempt_timeout()
         unresponsive = all(
@@ -106,17 +118,21 @@
         return unresponsive and self.tokens >= 1.0 and self._monitor.target_congestion < 1.0
 
     def needs_new_connection(self, request: Request, record: EndpointRecord) -> bool:
-        """Whether a non-idempotent request needs a new connection to this endpoint.
+        """Return whether an attempt of this request needs a new connection to this endpoint.
 
-        It does where the endpoint has not responded for longer than responses take: the machine may have
-        failed and left its connections open.  A new connection that cannot be established proves that nothing
-        ran. Latencies must meet their target, as handshakes add to an overload.
+        This is the case for a non-idempotent request if the endpoint has not responded for longer than the
+        mean latency: its machine may have failed without closing its connections.  If a new connection
+        cannot be established, the attempt has certainly not been executed.  Latencies must meet their target,
+        because the handshakes of new connections add to an overload.
         """
         overdue = self._context.now - record.last_response_at > self._monitor.latency.mean
         return overdue and self._monitor.target_congestion < 1.0 and not request.repeatable()
 
     def final_answer(self, request: Request, reason: FinishReason) -> RejectRequest | FailRequest:
-        """The answer to a request that is not served: a rejection where the client may safely retry."""
+        """Return the final answer to a request that is not served.
+
+        The answer is a rejection if the client may safely retry the request, else a failure.
+        """
         if not request.repeatable_anywhere() and request.first_possible_run() is not None:
             return FailRequest(request.id, reason)
         if not self._context.settings.retry_after_allowed:
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection: which endpoints an attempt of a request may be drawn from."""
+"""Selection of the endpoint for an attempt, including the rules on which endpoints are permitted."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -17,15 +17,16 @@
 
 
 class SelectionParameters(NamedTuple):
-    """Which endpoints are skipped.
+    """The conditions under which endpoints are skipped.
 
     Attributes:
-        panic_fraction: with more than this part unhealthy, health is ignored, as the cause is not the
-            servers.
-        share_factor: an endpoint is skipped when its part of the attempts in flight exceeds its share by this
-            factor.
-        share_allowance: attempts that an endpoint may have beyond that.
-        max_waiting: requests that may wait at a server, over all nodes, judged by its average latency.
+        panic_fraction: if more than this fraction of the endpoints is unhealthy, health is ignored, because
+            the cause is then probably not the servers.
+        share_factor: the maximum of an endpoint's fraction of the attempts in flight, as a multiple of its
+            share of the probability vector.
+        share_allowance: the number of attempts in flight that an endpoint may have beyond this maximum.
+        max_waiting: the maximum number of requests that wait at a server, from all nodes, as estimated from
+            its average latency.
     """
 
     panic_fraction: float = 0.5
@@ -38,7 +39,11 @@
 
 
 def permits(context: NodeContext, request: Request, record: EndpointRecord) -> bool:
-    """Whether an attempt of a request may be sent to an endpoint at all, by what its class allows."""
+    """Return whether the endpoint is listed and the request's class allows an attempt there.
+
+    The first attempt is allowed at every listed endpoint.  Once an earlier attempt may have been executed,
+    the class must allow a second execution at this endpoint.
+    """
     first = request.first_possible_run()
     if first is None or not record.listed:
         return record.listed
@@ -47,7 +52,8 @@
         return False
     if request_class.idempotency is not Idempotency.KEYED:
         return request_class.idempotency is Idempotency.IDEMPOTENT
-    # The attempt may be written only when a connection is established; the key must still be known then.
+    # The attempt is written only after a connection is established, and at that time the servers must still
+    # remember the idempotency key.
     latest = context.now + settings.connect_timeout_ms + settings.tick_ms
     if latest >= first.sent_at + request_class.deduplication_window_ms:
         return False
@@ -58,7 +64,10 @@
 
 
 def may_send(context: NodeContext, request: Request, record: EndpointRecord) -> bool:
-    """Whether an attempt may be sent now: the last check, independent of all earlier ones."""
+    """Return whether an attempt may be sent now.
+
+    This is the last check before an attempt is sent, and it does not rely on any earlier check.
+    """
     return (
         context.requests.by_id.get(request.id) is request
         and not request.response_started
@@ -69,7 +78,7 @@
 
 
 def permitted_indices(context: NodeContext, request: Request) -> Sequence[int]:
-    """The indices of the drawable endpoints that an attempt of this request may be sent to."""
+    """Return the indices of the selectable endpoints that an attempt of this request may be sent to."""
     records = context.endpoints.selectable
     if not request.attempts:
         return range(len(records))
@@ -77,7 +86,7 @@
 
 
 class EndpointSelector:
-    """Draws the endpoint of an attempt by the automaton's vector, from those that may get it."""
+    """Draws the endpoint of an attempt from the permitted endpoints, by the automaton's vector."""
 
     def __init__(
         self,
@@ -92,11 +101,11 @@
         self._subset = subset
         self._slow_start = slow_start
         self._monitor = monitor
-        # This node's part of the requests that may wait at a server.
+        # The number of this node's requests that may wait at a server.
         self._max_waiting = max(1.0, PARAMETERS.max_waiting / sharing_node_count(context.settings))
 
     def draw(self, request: Request, final_attempt: bool) -> EndpointRecord | None:
-        """The endpoint of the next attempt, None where none may get it."""
+        """Return the endpoint of the request's next attempt, or None if no endpoint is available."""
         candidates = self.candidates(request, final_attempt)
         if not candidates:
             return None
@@ -104,11 +113,11 @@
         return self._context.endpoints.selectable[position]
 
     def candidates(self, request: Request, final_attempt: bool) -> list[int]:
-        """The indices that the draw is conditioned on.
+        """Return the indices of the endpoints from which the next attempt's endpoint is drawn.
 
-        Health is ignored for a final attempt, and where so many endpoints are unhealthy that the cause must
-        be common to all.  Circuit breakers hold in any case: behind an open one the attempt would most likely
-        fail, while a rejection is harmless.
+        Health is ignored for a final attempt, and if so many endpoints are unhealthy that the cause must be
+        common to all.  Circuit breakers always apply: behind an open circuit breaker the attempt would most
+        likely fail, while a rejection of the request is harmless.
         """
         allowed, excluded = self._allowed(request)
         usable = allowed
@@ -121,9 +130,10 @@
         return self._subset.prefer_local(usable)
 
     def _prefer_untried(self, usable: list[int], request: Request, final_attempt: bool) -> list[int]:
-        """The usable endpoints without an attempt of this request.
+        """Return the usable endpoints that have had no attempt of this request.
 
-        Where there are none it is all usable ones, unless the request has an attempt in flight.
+        If there are none, return all usable endpoints for a final attempt or a request without attempts in
+        flight, and no endpoint otherwise.
         """
         records = self._context.endpoints.selectable
         tried = {attempt.endpoint.id for attempt in request.attempts}
@@ -133,17 +143,17 @@
         return usable
 
     def _allowed(self, request: Request) -> tuple[list[int], int]:
-        """The endpoints that the rules, slow start and circuit breakers allow.
+        """Find the endpoints that ``permits``, slow start and circuit breakers allow.
 
         Returns:
-            Their indices, and the number of endpoints that circuit breakers exclude.
+            The indices of these endpoints, and the number of endpoints that circuit breakers exclude.
         """
         now, records = self._context.now, self._context.endpoints.selectable
         slow_start, class_index = self._slow_start, request.class_index
         capacity_fraction = slow_start.capacity_fraction
         allowed: list[int] = []
         excluded = 0
-        warm_rate: float | None = None  # calculated once, and only if a server warms up
+        warm_rate: float | None = None  # calculated once, and only if a server is warming up
         min_rate = 0.0
         for i in permitted_indices(self._context, request):
             record = records[i]
@@ -160,10 +170,10 @@
         return allowed, excluded
 
     def _healthy(self, allowed: list[int], request: Request) -> tuple[list[int], int]:
-        """The allowed endpoints that are healthy and within their limits.
+        """Find the allowed endpoints that are healthy and within their limits.
 
         Returns:
-            Their indices, and the number of endpoints that are unhealthy.
+            The indices of these endpoints, and the number of endpoints that are unhealthy.
         """
         now, records = self._context.now, self._context.endpoints.selectable
         p, averages = self._automaton.p, self._automaton.latency_averages
@@ -185,8 +195,9 @@
             if outlier.cooldown_until > now or in_flight + 1 > record.concurrency.limit:
                 continue
             average = averages[i]
-            # By Little's law this part of its attempts waits there. A server that was overloaded for long
-            # stays slow for long, and its own average shows that before the mean of all does.
+            # By Little's law this fraction of the attempts waits at the server.  A server that has been
+            # overloaded for long stays slow for long, and its own average shows this before the mean of all
+            # averages does.
             if average and in_flight * (1.0 - baseline / average) > max_waiting:
                 continue
             share = p[i] * mean / average if average and average > mean else p[i]
@@ -195,7 +206,11 @@
         return healthy, unhealthy
 
     def _must_avoid_trials(self, request: Request) -> bool:
-        """Whether a failed trial would lose the request for good, while other classes can take that risk."""
+        """Return whether the request must not be used for the trial of a readmitted endpoint.
+
+        This is the case if the request cannot be repeated after a failed trial, while requests of another
+        class can be.
+        """
         classes = self._context.settings.classes
         has_repeatable = any(c.idempotency is not Idempotency.NON_IDEMPOTENT for c in classes)
         return has_repeatable and not request.repeatable()
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budget of a server that warms up."""
+"""Slow start, which limits the work sent to a server that is warming up."""
 
 from typing import NamedTuple
 
@@ -8,13 +8,16 @@
 
 
 class SlowStartParameters(NamedTuple):
-    """How much of a warm server's work a warming one gets.
+    """The rate of work that a server gets while it is warming up, relative to a warm server's rate.
 
     Attributes:
-        margin: the work for each part of a warm server's capacity.  The settings name the least capacity of
-            any server: most have half as much again.
-        max_overload_fraction: the margin is at most this part of the multiple at which a server fails.
-        default_span_ms: the time over which the answered work is averaged where no warm-up time is set.
+        margin: the rate of work, relative to a warm server's rate, divided by the server's capacity fraction.
+            It exceeds 1, because the settings give the minimum capacity of any server, while most servers
+            have half as much again.
+        max_overload_fraction: the maximum of the margin, as a fraction of the multiple of its capacity at
+            which a server that is warming up fails.
+        default_span_ms: the time over which the answered work is averaged if no warm-up time is set, in
+            milliseconds.
     """
 
     margin: float = 1.5
@@ -26,41 +29,48 @@
 
 
 class SlowStart:
-    """Bounds the work of warming servers by the answered work of warm ones; the only writer of their budgets.
+    """Limits the work of servers that are warming up, relative to the answered work of warm servers.
 
-    Work is in multiples of the mean request's, rates are in work per millisecond.
+    Only this class changes the budgets of servers.  Work is a multiple of the mean request's work, and rates
+    are in work per millisecond.
     """
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         settings = context.settings
-        # Not the work sent: it overloads the remaining servers when others fail.
+        # Answered work is used instead of sent work, which overloads the remaining servers when others fail.
         self._answered_work = DecayingRate(
             settings.warm_up_ms or PARAMETERS.default_span_ms, settings.overload_window_ms
         )
 
     def begin(self, record: EndpointRecord) -> None:
-        """Set the budget of a server that has just started, at random, so that nodes do not send at once."""
+        """Set a random budget for a server that has just started, so that not all nodes send at once."""
         record.slow_start.tokens = self._context.rng.random()
         record.slow_start.updated_at = self._context.now
 
     def record_answer(self, record: EndpointRecord, work: float) -> None:
-        """Count the work of an answered attempt; while all servers warm up it returns to the budget."""
+        """Count the work of an answered attempt, and refund it to the budget if no server is warm."""
         self._answered_work.add(work, self._context.now)
         if self.capacity_fraction(record) < 1.0 and self.all_warming():
             record.slow_start.tokens += work
 
     def record_send(self, record: EndpointRecord, work: float) -> None:
-        """Take the work of an attempt out of its server's budget."""
+        """Take the work of a sent attempt out of its server's budget."""
         record.slow_start.tokens -= work
 
     def all_warming(self) -> bool:
-        """Whether no endpoint is both warm and not ejected, so that none shows what a warm one sustains."""
+        """Return whether every endpoint is ejected or warming up.
+
+        In this case no endpoint shows what rate of work a warm server sustains.
+        """
         records = self._context.endpoints.selectable
         return all(r.outlier.ejected or self.capacity_fraction(r) < 1.0 for r in records)
 
     def capacity_fraction(self, record: EndpointRecord) -> float:
-        """The part of its capacity that a server has at least: 1 once it is warm."""
+        """Return the minimum present capacity of a server, as a fraction of its full capacity.
+
+        The fraction grows linearly from the initial capacity to 1 over the warm-up time.
+        """
         started_ms = record.endpoint.started_ms
         if started_ms <= 0:
             return 1.0
@@ -72,19 +82,23 @@
         return initial + (1.0 - initial) * max(age_ms, 0.0) / settings.warm_up_ms
 
     def total_capacity(self) -> float:
-        """The capacity that all servers which are not ejected have at least, in warm servers."""
+        """Return the minimum capacity of all servers that are not ejected, in units of one warm server.
+
+        The result is at least 1.
+        """
         fraction = self.capacity_fraction
         return max(1.0, sum(fraction(r) for r in self._context.endpoints.selectable if not r.outlier.ejected))
 
     def rate_per_warm_server(self) -> float:
-        """The rate of this node's answered work for each warm server's worth of capacity."""
+        """Return the rate of this node's answered work per warm server's worth of capacity."""
         return self._answered_work.per_ms(self._context.now) / self.total_capacity()
 
     def min_rate(self) -> float:
-        """The rate that a warming server gets in any case: zero while there is a warm server.
+        """Return the minimum rate of work for a server that is warming up; 0 if any server is warm.
 
-        Without a warm server a new node knows no rate of answered work.  Then all nodes together may send one
-        request in an overload window; as answers return to the budget, the rate grows as the servers answer.
+        Without a warm server, a new node has no rate of answered work to refer to.  All nodes together may
+        then send one request per overload window to a server.  Answered work is refunded to the budget, so
+        the rate grows as the servers respond.
         """
         settings = self._context.settings
         if not self.all_warming():
@@ -99,10 +113,18 @@
         rate_per_warm_server: float,
         min_rate: float,
     ) -> bool:
-        """Whether a warming server may get an attempt of this work; brings its budget up to date.
-
-        Each node applies its part alone.  Together they send a server its part of what warm servers sustain;
-        the rest of the multiple at which it fails remains for chance and for heavy requests.
+        """Update the budget of a server that is warming up, and return whether it may get an attempt.
+
+        Each node limits its own attempts without knowledge of the other nodes.  Together the nodes send the
+        server the same fraction of the work that a warm server sustains, multiplied by the margin.  The
+        difference from the multiple at which the server fails is left for chance and for heavy requests.
+
+        Args:
+            record: the record of the server.
+            fraction: its capacity fraction.
+            work: the work of the attempt.
+            rate_per_warm_server: the result of rate_per_warm_server.
+            min_rate: the result of min_rate.
         """
         now, settings = self._context.now, self._context.settings
         margin = min(PARAMETERS.margin, PARAMETERS.max_overload_fraction * settings.overload_multiple)
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -1,4 +1,4 @@
-"""Endpoint subsetting and zone affinity: the endpoints that a node prefers among the usable ones."""
+"""Endpoint subsetting and zone affinity, which determine the endpoints that a node prefers."""
 
 import hashlib
 import math
@@ -10,15 +10,19 @@
 from load_balancer.state.endpoint_records import EndpointRecord
 
 _DIGEST_BYTES = 6
+"""The length of the hashes that determine the positions of endpoints on a ring."""
 
 
 class SubsetParameters(NamedTuple):
-    """When and how the endpoints are divided into subsets.
+    """The conditions for subsets of endpoints, and their size.
 
     Attributes:
-        min_local: with fewer usable endpoints in the subset or zone a node does not keep to it.
-        size: endpoints in a subset, up to twice as many; half of so few may fail and still leave a choice.
-        min_nodes: nodes that must share each endpoint at the least, so that their random walks cancel out.
+        min_local: the minimum number of usable endpoints in the subset or zone; with fewer, a node also uses
+            other endpoints.
+        size: the minimum number of endpoints in a subset, which has up to twice as many.  With this size a
+            choice remains even if half of the endpoints in a subset fail.
+        min_nodes: the minimum number of nodes that share each endpoint, so that the random walks of their
+            probability vectors cancel out.
     """
 
     min_local: int = 2
@@ -30,7 +34,7 @@
 
 
 class EndpointSubset:
-    """The endpoints that this node prefers.
+    """The subset of the endpoints that this node prefers.
 
     Attributes:
         in_subset: whether each endpoint belongs to the subset, in the order of the probability vector.
@@ -41,9 +45,10 @@
         self.in_subset: list[bool] = []
 
     def prefer_local(self, usable: list[int]) -> list[int]:
-        """Of the usable endpoints those in the subset; else, where crossing has a cost, those in the zone.
+        """Return the usable endpoints in the node's subset, in its zone, or all of them, in this preference.
 
-        Either set must hold at least two; otherwise these are all usable endpoints.
+        The subset and the zone must each contain at least min_local usable endpoints to be preferred.  The
+        zone counts only if attempts in other zones have a cost.
         """
         in_subset = self.in_subset
         subset = [i for i in usable if in_subset[i]]
@@ -56,14 +61,16 @@
         return zone if len(zone) >= PARAMETERS.min_local else usable
 
     def update(self) -> None:
-        """Choose the subset from a new list; where few nodes share the endpoints it is all of them.
+        """Choose the subset from a new endpoint list.
 
-        Without subsets a node of many rarely sends to the same endpoint again, so that it learns little, and
-        the number of connections grows with nodes times endpoints.
+        If only few nodes share the endpoints, the subset contains all of them, or all of the node's zone if
+        attempts in other zones have a cost.  Without subsets, each of many nodes would rarely send to the
+        same endpoint again and therefore learn little, and the number of connections would grow with the
+        product of nodes and endpoints.
         """
         settings, records = self._context.settings, self._context.endpoints.selectable
         local = [r for r in records if not settings.cross_zone_cost or r.endpoint.zone == settings.zone]
-        # A power of two, as all subsets depend on it: it must not follow every change of the list.
+        # All subsets depend on this count.  It is a power of two, so that it rarely changes with the list.
         subset_count = 1 << max(0, (len(local) // PARAMETERS.size).bit_length() - 1)
         subset_ids = {r.endpoint.id for r in local}
         many_nodes = settings.node_count * PARAMETERS.size >= PARAMETERS.min_nodes * len(records)
@@ -73,11 +80,11 @@
 
 
 def _select_subset(records: Sequence[EndpointRecord], node_index: int, subset_count: int) -> set[EndpointId]:
-    """The ids of a node's subset, with machine types in proportion.
+    """Return the ids of the endpoints in a node's subset, with machine types in proportion.
 
-    Endpoints lie on a ring by hash.  Each round of subset_count nodes has a ring of its own, on which the
-    nodes are spaced evenly and take the endpoints that follow.  So all endpoints get the same number of
-    nodes, and a new list changes few subsets.
+    Endpoints are placed on a ring by hash.  Each group of subset_count nodes has its own ring, on which the
+    nodes are spaced evenly, and each node takes the endpoints that follow it.  As a result, all endpoints get
+    the same number of nodes, and a new list changes few subsets.
     """
     ring_number, ring_index = divmod(node_index, subset_count)
     start = ring_index / subset_count
@@ -87,12 +94,14 @@
         rings.setdefault(record.endpoint.machine_type, []).append((distance, record.endpoint.id))
     subset_ids: set[EndpointId] = set()
     for ring in rings.values():
-        subset_ids.update(name for _, name in sorted(ring)[: math.ceil(len(ring) / subset_count)])
+        subset_ids.update(
+            endpoint_id for _, endpoint_id in sorted(ring)[: math.ceil(len(ring) / subset_count)]
+        )
     return subset_ids
 
 
 def _ring_position(endpoint_id: EndpointId, ring_number: int) -> float:
-    """Where an endpoint lies on a ring, as a part of its length."""
+    """Return the position of an endpoint on a ring, as a fraction of the ring's length."""
     content = endpoint_id + ring_number.to_bytes(4, "big")
     digest = hashlib.blake2b(content, digest_size=_DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big") / (1 << 8 * _DIGEST_BYTES)
