--- a/load_balancer/estimation/__init__.py
+++ b/load_balancer/estimation/__init__.py
@@ -1,1 +1,1 @@
-"""Estimators and arithmetic that know nothing of requests or endpoints."""
+"""Estimators and arithmetic that do not depend on requests or endpoints."""
--- a/load_balancer/estimation/averages.py
+++ b/load_balancer/estimation/averages.py
@@ -4,7 +4,12 @@
 
 
 class MeanDeviation:
-    """A running mean and mean deviation of values above 0; both are 0 before the first value."""
+    """A running mean and mean deviation of positive values.
+
+    Attributes:
+        mean: the mean, 0 before the first value.
+        deviation: the mean absolute deviation from the mean, 0 before the first value.
+    """
 
     __slots__ = ("_smoothing_factor", "deviation", "mean")
 
@@ -14,7 +19,7 @@
         self._smoothing_factor = smoothing_factor
 
     def observe(self, value: float) -> None:
-        """Enter one value."""
+        """Add a value to the mean and the deviation."""
         if self.mean == 0.0:
             self.mean, self.deviation = value, value / 2
         else:
@@ -23,7 +28,7 @@
 
 
 class RelativeSize:
-    """Sizes as multiples of their running mean."""
+    """Converts sizes into multiples of their running mean."""
 
     __slots__ = ("_mean", "_smoothing_factor")
 
@@ -32,7 +37,10 @@
         self._smoothing_factor = smoothing_factor
 
     def observe(self, size: float | None) -> float:
-        """Enter one size and return it as a multiple of the mean; 1 where the size is not known."""
+        """Add a size to the mean and return it as a multiple of the mean.
+
+        A size that is None or not positive counts as unknown: the mean does not change, and the result is 1.
+        """
         if size is None or size <= 0:
             return 1.0
         self._mean += (size - self._mean) * (self._smoothing_factor if self._mean else 1.0)
--- a/load_balancer/estimation/latency.py
+++ b/load_balancer/estimation/latency.py
@@ -1,4 +1,4 @@
-"""Estimates of how long an attempt takes."""
+"""Estimates of the latency of an attempt."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 from load_balancer.estimation.averages import MeanDeviation
 
 LATENCY_SMOOTHING_FACTOR = 0.1
-"""Of the mean and the mean deviation, which span about ten latencies."""
+"""The smoothing factor of the mean and the mean deviation, which span about ten latencies."""
 
 TIMEOUT_DEVIATIONS = 4.0
-"""An attempt is late after the mean and this many mean deviations, as in TCP's retransmission timeout."""
+"""The timeout is the mean plus this many mean deviations, as for TCP's retransmission timeout."""
 
 MIN_TIMEOUT_MEANS = 2.0
-"""It is never late before this many means, which matters for work that always takes the same time."""
+"""The minimum of the timeout, in means.
+
+It applies to latencies that hardly vary, for which the mean deviation is close to 0.
+"""
 
 
 class LatencyEstimator(MeanDeviation):
-    """Mean and mean deviation of latencies in milliseconds."""
+    """The mean and the mean deviation of latencies, in milliseconds."""
 
     __slots__ = ()
 
@@ -25,7 +28,10 @@
         super().__init__(LATENCY_SMOOTHING_FACTOR)
 
     def attempt_timeout(self) -> float:
-        """After how many milliseconds an attempt counts as late; infinite before the first latency."""
+        """Return the time after which an attempt is late, in milliseconds.
+
+        The time is infinite before the first latency is observed.
+        """
         mean = self.mean
         if not mean:
             return math.inf
--- a/load_balancer/estimation/probability.py
+++ b/load_balancer/estimation/probability.py
@@ -1,4 +1,4 @@
-"""Arithmetic of probability vectors."""
+"""Arithmetic on probability vectors."""
 
 from __future__ import annotations
 
@@ -6,7 +6,12 @@
 
 
 def apply_floor(ratios: Sequence[float], floor: float) -> list[float]:
-    """Probabilities of at least the floor that sum to 1; those above the floor keep their ratios."""
+    """Return probabilities that sum to 1, are at least the floor and keep the ratios above the floor.
+
+    Args:
+        ratios: the ratios of the probabilities; they need not sum to 1.
+        floor: the minimum of each probability.
+    """
     at_floor: set[int] = set()
     while ratios:
         total = sum(x for i, x in enumerate(ratios) if i not in at_floor)
--- a/load_balancer/estimation/rates.py
+++ b/load_balancer/estimation/rates.py
@@ -1,4 +1,4 @@
-"""Rates of units over time: a decaying rate and a token bucket."""
+"""A decaying rate of units over time, and a token bucket."""
 
 from __future__ import annotations
 
@@ -6,7 +6,9 @@
 
 
 class DecayingRate:
-    """The recent rate of units, in which older ones decay exponentially; unbiased from the first units on.
+    """The recent rate of units, weighted so that older units decay exponentially.
+
+    The rate is corrected for the short time after the first units, so that it is unbiased from the start.
 
     Attributes:
         time_constant_ms: the time constant of the decay.
@@ -16,21 +18,21 @@
 
     def __init__(self, time_constant_ms: float, min_span_ms: float = 1.0) -> None:
         self.time_constant_ms = time_constant_ms
-        # Units that came within less time than this count as spread over it.
+        # Units that arrive within a shorter time than this count as spread over this time.
         self._min_span_ms = min_span_ms
         self._started_at: float | None = None
         self._count = 0.0
         self._counted_at = 0.0
 
     def add(self, units: float, now: float) -> None:
-        """Count units that came now."""
+        """Add units that occurred at this time, in milliseconds."""
         if self._started_at is None:
             self._started_at = now
         self._count = self._decayed_count(now) + units
         self._counted_at = now
 
     def per_ms(self, now: float) -> float:
-        """The present rate, in units per millisecond."""
+        """Return the rate at this time, in units per millisecond."""
         if self._started_at is None:
             return 0.0
         age_ms = max(now - self._started_at, self._min_span_ms)
@@ -44,7 +46,7 @@
 
 
 class TokenBucket:
-    """A bucket that starts full, is filled at a rate and holds the tokens of one second."""
+    """A token bucket that starts full and holds at most the tokens of one second."""
 
     __slots__ = ("_refilled_at", "_per_s", "_tokens")
 
@@ -54,7 +56,10 @@
         self._refilled_at = 0.0
 
     def take(self, now: float) -> bool:
-        """Take a token, if there is a complete one; a bucket without a rate always has one."""
+        """Take a token if a whole one is available, and return whether a token was taken.
+
+        A bucket whose rate is 0 always allows taking a token.
+        """
         if self._per_s <= 0:
             return True
         self._tokens = min(self._per_s, self._tokens + (now - self._refilled_at) * self._per_s / 1000.0)
--- a/load_balancer/state/__init__.py
+++ b/load_balancer/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state of one node that the parts of the policy share; decides nothing."""
+"""The state of one node that the components of its policy share.  It contains no decisions."""
--- a/load_balancer/state/context.py
+++ b/load_balancer/state/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one node's policy share: settings, time, randomness, records, timers and actions."""
+"""The context that the components of a node's policy share."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class NodeContext:
-    """What the parts of one policy share; decides nothing.
+    """The state that the components of one node's policy share; it makes no decisions.
 
     Attributes:
         settings: the node's settings.
-        rng: the one source of randomness.
-        now: the time of the event that is being handled.
+        rng: the policy's only source of random numbers.
+        now: the time of the event that is being handled, in milliseconds.
         objective_ms: the shortest latency objective of any class, the unit of most durations.
         endpoints: the records of endpoints.
         requests: the records of requests and attempts.
-        sequence: numbers requests, timers and wake-ups in one order.
+        sequence: the common counter that numbers requests, timers and wake-ups.
         timers: the pending timers.
-        actions: the actions that follow from the event so far.
+        actions: the actions that the present event has caused so far.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -40,12 +40,12 @@
         self.actions: list[Action] = []
 
     def begin_event(self, now: float) -> None:
-        """Start to handle an event."""
+        """Start handling an event: set its time, in milliseconds, and begin a new list of actions."""
         self.now = now
         self.actions = []
 
     def end_event(self) -> list[Action]:
-        """The actions that follow from the event, and the next wake-up if one is needed."""
+        """Return the actions that the event has caused, including the next wake-up if one is needed."""
         wake_up = self.timers.wake_up()
         if wake_up is not None:
             self.actions.append(wake_up)
@@ -54,9 +54,15 @@
     def schedule(
         self, at: float, kind: TimerKind, request_id: RequestId = 0, endpoint_id: EndpointId = b""
     ) -> None:
-        """Schedule a timer for this time."""
+        """Schedule a timer for this time, in milliseconds."""
         self.timers.schedule(at, Timer(kind, request_id, endpoint_id))
 
     def log(self, name: str, **fields: LogValue) -> None:
-        """Add a log line; the name of a field that is a keyword of Python takes an underscore at its end."""
+        """Add a log line to the actions.
+
+        Args:
+            name: the name of the event.
+            fields: the fields of the log line.  Underscores at the end of a field name are removed, so that
+                Python keywords can be field names, for example ``class_``.
+        """
         self.actions.append(LogEvent(name, tuple((key.rstrip("_"), v) for key, v in fields.items())))
--- a/load_balancer/state/endpoint_records.py
+++ b/load_balancer/state/endpoint_records.py
@@ -1,7 +1,7 @@
 """The records that a node keeps of endpoints; times are in milliseconds.
 
-An endpoint's record is composed of one state for each part of the policy that decides on endpoints.  The
-docstring of a state names its one writer; every part may read all of them.
+The record of an endpoint contains a state object for each component of the policy that decides on endpoints.
+The docstring of a state class names the component that writes it; every component may read all states.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 )
 
 AttemptKey = tuple[RequestId, int]
-"""A request's id and the number of one of its attempts, from 0."""
+"""The id of a request and the number of one of its attempts, counted from 0."""
 
 
 @dataclass(slots=True, eq=False)
@@ -27,11 +27,12 @@
     """The outlier detector's state for an endpoint, written by ``policy.outliers.OutlierDetector``.
 
     Attributes:
-        failure_rate: a short average of its failures.
-        ejected: it is out of service as an outlier.
-        on_trial: it was readmitted, and no attempt has succeeded since.
-        consecutive_ejections: how often it was ejected without a recovery.
-        cooldown_until: until when it is skipped.
+        failure_rate: the fraction of failures among the recent attempts at the endpoint.
+        ejected: whether the endpoint is ejected as an outlier.
+        on_trial: whether the endpoint has been readmitted and no attempt has succeeded since.
+        consecutive_ejections: the number of ejections since the last recovery, which determines the length of
+            the next pause; failed health checks keep it low.
+        cooldown_until: the time until which the endpoint is skipped.
     """
 
     failure_rate: float = 0.0
@@ -46,12 +47,13 @@
     """An endpoint's circuit breaker for one class, written by ``policy.circuit_breakers.CircuitBreakers``.
 
     Attributes:
-        failure_rate: a short average of failures that count against the class.
-        usual_failure_rate: the same over more answers, malformed ones among them.
-        served: the endpoint has served the class since its process started.
-        open_until: until when the breaker rejects the class.
-        half_open: the breaker was open, and no attempt has succeeded since.
-        consecutive_openings: how often the breaker opened without a recovery.
+        failure_rate: the fraction of errors among the recent attempts of the class.
+        long_term_failure_rate: the fraction of failures of any kind, including malformed responses, among a
+            larger number of attempts.
+        served: whether the endpoint has served the class since its process started.
+        open_until: the time until which the breaker is open.
+        half_open: whether the breaker has opened and no attempt has succeeded since.
+        consecutive_openings: the number of times that the breaker has opened since the last recovery.
     """
 
     failure_rate: float = 0.0
@@ -67,8 +69,10 @@
     """The concurrency limit of an endpoint, written by ``policy.endpoint_limits.EndpointLimits``.
 
     Attributes:
-        limit: the attempts of this node that it is known to accept, infinite until it has rejected one.
-        consecutive_rejections: the attempts that it rejected since it last served one.
+        limit: the number of this node's attempts in flight that the endpoint is expected to accept, infinite
+            until the endpoint rejects an attempt.
+        consecutive_rejections: the number of attempts that the endpoint has rejected since it last served an
+            attempt.
     """
 
     limit: float = math.inf
@@ -77,11 +81,11 @@
 
 @dataclass(slots=True, eq=False)
 class SlowStartState:
-    """The budget of an endpoint that warms up, written by ``policy.slow_start.SlowStart``.
+    """The budget of an endpoint that is warming up, written by ``policy.slow_start.SlowStart``.
 
     Attributes:
         tokens: the budget, in requests of mean work.
-        updated_at: when the budget was last brought up to date.
+        updated_at: the time when the budget was last updated.
     """
 
     tokens: float = 0.0
@@ -90,18 +94,21 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointRecord:
-    """What this node knows of an endpoint.
+    """The state that this node keeps of an endpoint.
 
     Attributes:
-        endpoint: its row in the endpoint list; written by EndpointTable.
-        breakers: its circuit breakers, by class index.
-        in_flight_by_class: the number of this node's attempts there, by class index; written by RequestTable.
-        listed: it is in the list and serving; written by EndpointTable.
-        in_flight: this node's attempts there and when each was sent, oldest first; written by RequestTable.
-        last_response_at: when it last sent any response; written by ``policy.outcomes.OutcomeRecorder``.
-        outlier: the outlier detector's state.
-        concurrency: its concurrency limit.
-        slow_start: its budget while it warms up.
+        endpoint: the endpoint's row in the endpoint list, written by EndpointTable.
+        breakers: the endpoint's circuit breakers, by class index.
+        in_flight_by_class: the number of this node's attempts in flight at the endpoint, by class index,
+            written by RequestTable.
+        listed: whether the endpoint is in the list and serving, written by EndpointTable.
+        in_flight: this node's attempts in flight at the endpoint, each with the time when it was sent, oldest
+            first, written by RequestTable.
+        last_response_at: the time of the endpoint's last response of any kind, written by
+            ``policy.outcomes.OutcomeRecorder``.
+        outlier: the outlier detector's state of the endpoint.
+        concurrency: the endpoint's concurrency limit.
+        slow_start: the endpoint's budget while it is warming up.
     """
 
     endpoint: Endpoint
@@ -116,11 +123,11 @@
 
     @classmethod
     def create(cls, endpoint: Endpoint, class_count: int) -> EndpointRecord:
-        """The record of an endpoint that is new to this node."""
+        """Create the record of an endpoint that is new to this node."""
         return cls(endpoint, [CircuitBreakerState() for _ in range(class_count)], [0] * class_count)
 
     def restart(self, now: float) -> None:
-        """Discard what counted against a process that has been replaced by a new one."""
+        """Reset the failures of the endpoint, because a new process has replaced the one that failed."""
         self.outlier = OutlierState(cooldown_until=self.outlier.cooldown_until)
         self.breakers = [CircuitBreakerState() for _ in self.breakers]
         self.last_response_at = now
@@ -130,8 +137,8 @@
     """The records of endpoints.
 
     Attributes:
-        by_id: all that are listed or have attempts in flight.
-        drawable: those that are listed, in the order of the probability vector.
+        by_id: the records of all endpoints that are listed or have attempts in flight.
+        selectable: the records of the listed endpoints, in the order of the probability vector.
     """
 
     def __init__(self) -> None:
@@ -139,10 +146,10 @@
         self.selectable: list[EndpointRecord] = []
 
     def apply(self, update: EndpointListUpdate, class_count: int, now: float) -> list[EndpointRecord]:
-        """Apply an endpoint list; returns the records of endpoints that are new or have restarted.
+        """Apply an endpoint list and return the records of endpoints that are new or have restarted.
 
-        The record of a removed endpoint is dropped once no attempt is in flight there, so that the table does
-        not grow with every id that was ever listed.
+        The record of a removed endpoint is dropped at the first list for which no attempt is in flight there,
+        so that the table does not grow with every id that was ever listed.
         """
         started: list[EndpointRecord] = []
         if update.kind is not EndpointListKind.DELTA:
--- a/load_balancer/state/request_queue.py
+++ b/load_balancer/state/request_queue.py
@@ -1,4 +1,4 @@
-"""The requests that wait to be placed, by priority and then age."""
+"""The queue of requests that wait for an attempt, ordered by priority and then by age."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class RequestQueue:
     """A sorted queue; the first request has the highest priority.
 
-    While any request waits, a QUEUE_CHECK timer fires at least once in each check interval.
+    While the queue is not empty, a QUEUE_CHECK timer fires at least once in each check interval.
     """
 
     def __init__(self, context: NodeContext, check_interval_ms: float) -> None:
@@ -29,25 +29,25 @@
         return self._entries[position][2]
 
     def add(self, request: Request, timeout_ms: float) -> None:
-        """Queue a request with this timeout."""
+        """Add a request, whose timeout passes after this many milliseconds."""
         request.queued = True
         request.queued_until = self._context.now + timeout_ms
         insort(self._entries, (-request.priority, request.sequence, request))
 
     def remove(self, request: Request) -> None:
-        """Remove a request, if it is queued."""
+        """Remove a request if it is queued."""
         if request.queued:
             request.queued = False
             self._entries.remove((-request.priority, request.sequence, request))
 
     def expired(self) -> list[Request]:
-        """The requests whose timeout has passed; to be called when the check timer fires."""
+        """Return the requests whose timeout has passed; call this when the QUEUE_CHECK timer fires."""
         self._check_at = math.inf
         now = self._context.now
         return [request for _, _, request in self._entries if request.queued_until <= now]
 
     def schedule_check(self) -> None:
-        """Schedule the timer for the next check, unless it fires early enough already."""
+        """Schedule a timer for the next check, unless a timer that fires early enough is pending."""
         if not self._entries:
             return
         earliest = min(request.queued_until for _, _, request in self._entries)
--- a/load_balancer/state/request_records.py
+++ b/load_balancer/state/request_records.py
@@ -23,12 +23,12 @@
     """One attempt of a request.
 
     Attributes:
-        record: the record of the endpoint that it was sent to.
-        endpoint: that endpoint's row in the endpoint list when the attempt was sent.
-        sent_at: when it was sent.
-        work: its work, as a multiple of the mean request's.
-        class_index: its request's class.
-        outcome: how it ended, None while it is in flight.
+        record: the record of the endpoint that the attempt was sent to.
+        endpoint: that endpoint's row in the endpoint list at the time when the attempt was sent.
+        sent_at: the time when the attempt was sent.
+        work: the work of the request, as a multiple of the mean request's work.
+        class_index: the position of the request's class in the settings.
+        outcome: the outcome of the attempt, None while it is in flight.
     """
 
     record: EndpointRecord
@@ -39,11 +39,11 @@
     outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
-        """Whether its server may have executed it."""
+        """Return whether the server may have executed the attempt."""
         return self.outcome is None or self.outcome not in NOT_EXECUTED
 
     def server_restarted(self) -> bool:
-        """Whether the server has restarted since the attempt was sent."""
+        """Return whether the server has restarted since the attempt was sent."""
         return self.endpoint.started_ms != self.record.endpoint.started_ms
 
 
@@ -52,19 +52,20 @@
     """A request that this node has to answer.
 
     Attributes:
-        id: the host's number for it.
-        request_class: its class.
-        class_index: that class's position in the settings.
-        deadline: when its client stops waiting.
-        work: its work, as a multiple of the mean request's.
-        priority: its priority in the queue.
-        sequence: its place in the order of arrival.
-        admission_draw: a random number in [0, 1) that settles the fraction of the concurrency limit.
-        attempts: its attempts in order.
+        id: the number by which the host identifies the request.
+        request_class: the class of the request.
+        class_index: the position of this class in the settings.
+        deadline: the time when the client stops waiting.
+        work: the work of the request, as a multiple of the mean request's work.
+        priority: the priority of the request in the queue; a larger value is served earlier.
+        sequence: the number of the request, which grows in the order of arrival.
+        admission_draw: a random number in [0, 1) that decides whether the fractional part of the concurrency
+            limit admits the request.
+        attempts: the attempts of the request, in the order in which they were sent.
         in_flight: the number of attempts in flight.
-        queued: it waits in the queue.
-        queued_until: when its timeout in the queue passes.
-        response_started: a streamed response has begun.
+        queued: whether the request is in the queue.
+        queued_until: the time when the request's queue timeout passes.
+        response_started: whether a streamed response has begun.
     """
 
     id: RequestId
@@ -82,21 +83,21 @@
     response_started: bool = False
 
     def repeatable(self) -> bool:
-        """Whether its class allows a second execution under any condition."""
+        """Return whether the request's class allows a second execution, if only under conditions."""
         return self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def repeatable_anywhere(self) -> bool:
-        """Whether a second execution does no harm on any server."""
+        """Return whether a second execution is harmless regardless of the server on which it happens."""
         if self.request_class.idempotency is Idempotency.KEYED:
             return self.request_class.deduplication_scope is DeduplicationScope.ALL
         return self.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def first_possible_run(self) -> Attempt | None:
-        """The first attempt that a server may have executed."""
+        """Return the first attempt that a server may have executed, or None."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run()), None)
 
     def attempts_in_flight(self) -> list[tuple[int, Attempt]]:
-        """The attempts that are in flight, each with its number."""
+        """Return the attempts in flight, each with its number."""
         return [(number, a) for number, a in enumerate(self.attempts) if a.outcome is None]
 
 
@@ -104,8 +105,8 @@
     """The requests that have to be answered, and all attempts in flight.
 
     Attributes:
-        by_id: the requests.
-        attempts: the attempts in flight, also those of answered requests.
+        by_id: the requests that have to be answered.
+        attempts: the attempts in flight, including the attempts of requests that have been answered.
     """
 
     def __init__(self) -> None:
@@ -113,18 +114,23 @@
         self.attempts: dict[AttemptKey, Attempt] = {}
 
     def check_arrival(self, event: RequestArrived, class_count: int) -> None:
-        """Raise UnexpectedEventError for a request of an unknown class, or one that has arrived before."""
+        """Check that an arriving request has a known class and a new id.
+
+        Raises:
+            UnexpectedEventError: the class is unknown, or the id belongs to a request that has arrived before
+                and is not answered yet.
+        """
         if not 0 <= event.class_index < class_count:
             raise UnexpectedEventError(f"request {event.request_id} is of unknown class {event.class_index}")
         if event.request_id in self.by_id:
             raise UnexpectedEventError(f"request {event.request_id} arrived twice")
 
     def take(self, request_id: RequestId) -> Request | None:
-        """Remove and return a request that needs no answer any more; None where it is removed already."""
+        """Remove and return a request that needs no further answer; None if it is already removed."""
         return self.by_id.pop(request_id, None)
 
     def start_attempt(self, request: Request, record: EndpointRecord, now: float) -> None:
-        """Record the next attempt of a request."""
+        """Record that the next attempt of a request is sent to an endpoint."""
         key = (request.id, len(request.attempts))
         attempt = Attempt(record, record.endpoint, now, request.work, request.class_index)
         self.attempts[key] = attempt
@@ -134,10 +140,10 @@
         record.in_flight_by_class[request.class_index] += 1
 
     def attempt(self, event: ResponseStarted | AttemptEnded) -> Attempt:
-        """The attempt that an event refers to.
+        """Return the attempt that an event refers to.
 
         Raises:
-            UnexpectedEventError: it is not in flight.
+            UnexpectedEventError: the attempt is not in flight.
         """
         attempt = self.attempts.get((event.request_id, event.attempt_number))
         if attempt is None:
@@ -150,7 +156,7 @@
         """Remove and return an attempt that has ended.
 
         Raises:
-            UnexpectedEventError: it is not in flight.
+            UnexpectedEventError: the attempt is not in flight.
         """
         attempt = self.attempt(event)
         key = (event.request_id, event.attempt_number)
--- a/load_balancer/state/timer_queue.py
+++ b/load_balancer/state/timer_queue.py
@@ -1,4 +1,4 @@
-"""The policy's timers, which share the wake-ups that it requests from its host."""
+"""The timers of the policy, which share the wake-ups that the policy requests from its host."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TimerKind(Enum):
-    """What has to be done when a timer fires."""
+    """The task to perform when a timer fires."""
 
     LATE_ATTEMPT = auto()
     """Check whether an attempt of a request is late."""
@@ -24,11 +24,11 @@
     """Try to readmit an ejected endpoint."""
 
     QUEUE_CHECK = auto()
-    """Look for queued requests whose timeout has passed."""
+    """Check the queue for requests whose timeout has passed."""
 
 
 class Timer(NamedTuple):
-    """A timer and the request or endpoint that it is about."""
+    """The kind of a timer and the request or endpoint that the timer refers to, if any."""
 
     kind: TimerKind
     request_id: RequestId = 0
@@ -36,28 +36,38 @@
 
 
 class TimerQueue:
-    """Timers by the time at which they are due; the sequence numbers both timers and wake-ups."""
+    """The pending timers, ordered by the time at which they are due.
+
+    The sequence supplies the numbers of both timers and wake-ups.
+    """
 
     def __init__(self, sequence: Iterator[int]) -> None:
         self._sequence = sequence
         self._timers: list[tuple[float, int, Timer]] = []
-        self._wake_ups: dict[int, float] = {}  # the pending ones, by token
+        self._wake_ups: dict[int, float] = {}  # the times of the pending wake-ups, by token
 
     def schedule(self, at: float, timer: Timer) -> None:
-        """Schedule a timer for this time."""
+        """Schedule a timer for this time, in milliseconds."""
         heapq.heappush(self._timers, (at, next(self._sequence), timer))
 
     def due(self, now: float, token: int) -> Iterator[Timer]:
-        """Remove the timers that are due at a wake-up, one by one, also those added during the iteration."""
+        """Remove the timers that are due at a wake-up and yield them in order.
+
+        Timers that are added during the iteration are included if they are due.
+
+        Args:
+            now: the present time in milliseconds.
+            token: the token of the wake-up.
+        """
         self._wake_ups.pop(token, None)
         while self._timers and self._timers[0][0] <= now:
             yield heapq.heappop(self._timers)[2]
 
     def wake_up(self) -> SetTimer | None:
-        """The wake-up to request, None where one is pending that comes early enough.
+        """Return the wake-up to request, or None if no wake-up or no further wake-up is needed.
 
-        A wake-up cannot be withdrawn.  Where an earlier one is requested meanwhile the later one stays
-        pending, and is not requested again.
+        A pending wake-up cannot be withdrawn.  When an earlier wake-up is requested, the later one stays
+        pending and is not requested again.
         """
         if not self._timers:
             return None
