--- a/load_balancer/__init__.py
+++ b/load_balancer/__init__.py
@@ -1,4 +1,4 @@
-"""load_balancer: a load balancer whose decisions do no I/O."""
+"""A load balancer whose policy, the part that makes the decisions, does no I/O."""
 
 from load_balancer.policy.automaton import Automaton
 from load_balancer.policy.balancer import Balancer
--- a/load_balancer/actions.py
+++ b/load_balancer/actions.py
@@ -14,14 +14,14 @@
 
 
 class FinishReason(Enum):
-    """Why a request is answered without having been served; for counters and logs."""
+    """The reason why a request is answered without having been served, for counters and logs."""
 
     UNKNOWN = "unknown"
     OVERLOADED = "overloaded"
-    """The concurrency limit left no capacity for it until its queue timeout."""
+    """The concurrency limit left no capacity for the request until its queue timeout."""
 
     NO_ENDPOINT = "no_endpoint"
-    """No endpoint could be used for it until its queue timeout."""
+    """No endpoint was available for the request until its queue timeout."""
 
     CLIENT_ERROR = "client_error"
     """A server found the request itself invalid."""
@@ -30,12 +30,15 @@
     OUT_OF_TIME = "out_of_time"
     RETRY_BUDGET = "retry_budget"
     NOT_REPEATABLE = "not_repeatable"
-    """It may have run, and its class forbids another attempt at every listed endpoint."""
+    """The request may have been executed, and its class forbids another attempt at any listed endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Start the request's next attempt; with a timeout_ms of 0 it may last until the client's deadline."""
+    """Start the request's next attempt.
+
+    If timeout_ms is 0, the attempt may last until the client's deadline.
+    """
 
     request_id: RequestId
     endpoint_id: EndpointId
@@ -44,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not served, and a retry is harmless; a retry_after_ms of 0 means no Retry-After."""
+    """Answer a request that is not served and that the client may safely retry.
+
+    If retry_after_ms is 0, the answer has no Retry-After.
+    """
 
     request_id: RequestId
     retry_after_ms: float = 0.0
@@ -53,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: not served, and the request may have been executed."""
+    """Answer a request that is not served but may have been executed."""
 
     request_id: RequestId
     reason: FinishReason = FinishReason.UNKNOWN
@@ -69,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Request a TimerFired with this token at or after at_ms; timers cannot be withdrawn."""
+    """Request a TimerFired event with this token at or after at_ms; a timer cannot be withdrawn."""
 
     token: int
     at_ms: float
@@ -77,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Start a health check of an endpoint; answered by a HealthCheckEnded."""
+    """Start a health check of an endpoint, which ends with a HealthCheckEnded event."""
 
     endpoint_id: EndpointId
 
@@ -91,22 +97,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointList:
-    """Poll discovery for the endpoint list; answered by an EndpointListUpdate."""
+    """Poll discovery for the endpoint list, which results in an EndpointListUpdate event."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A log line: the name of an event, in snake_case, and its fields in order.
+    """Write a log line, which consists of the name of an event in snake_case and its fields in order.
 
-    Bytes are endpoint ids, shown as text where they are printable and else in hexadecimal; floats have three
-    decimals.
+    Fields of type bytes are endpoint ids, which are written as text if they are printable ASCII and
+    otherwise in hexadecimal.  Floats are written with three decimals.
     """
 
     name: str
     fields: tuple[tuple[str, LogValue], ...] = ()
 
     def __str__(self) -> str:
-        """The event as one line: its name, then key=value pairs."""
+        """Return the event as one line: its name, followed by key=value pairs."""
         return " ".join([self.name, *(f"{key}={_log_text(value)}" for key, value in self.fields)])
 
 
--- a/load_balancer/events.py
+++ b/load_balancer/events.py
@@ -1,7 +1,7 @@
-"""The events that a host hands to the policy.
+"""The events that a host passes to the policy.
 
 Times are in milliseconds on the host's clock, which never goes backwards.  Endpoint ids are opaque bytes and
-request ids opaque numbers; the policy returns both unchanged in its actions.
+request ids are opaque numbers; the policy returns both unchanged in its actions.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class UnexpectedEventError(ValueError):
-    """An event names a request, attempt or class that never existed, which is a fault of the host."""
+    """An event refers to a request, attempt or class that never existed, which is a fault of the host."""
 
 
 class EndpointState(Enum):
@@ -26,23 +26,23 @@
 
 
 class EndpointListKind(Enum):
-    """How an endpoint list relates to the one before it."""
+    """The relation of an endpoint list to the previous list."""
 
     FAILED = 0
-    """There is no list, as a poll failed or a watch broke."""
+    """There is no list, because a poll failed or a watch was interrupted."""
 
     DELTA = 1
-    """The endpoints that changed since the last list."""
+    """The list contains only the endpoints that have changed since the last list."""
 
     CACHED = 2
-    """The complete list as it was last cached, which may be stale."""
+    """The list is the last cached complete list, which may be out of date."""
 
     FULL = 3
-    """The complete list."""
+    """The list is complete."""
 
 
 class Outcome(Enum):
-    """How an attempt or a health check ended."""
+    """The result of an attempt or a health check."""
 
     OK = "ok"
     ERROR = "error"
@@ -54,13 +54,16 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    """The attempt was abandoned before any of it was written to a server."""
+    """The attempt was abandoned before any part of it was written to a server."""
 
     MALFORMED_RESPONSE = "malformed_response"
-    """The response was not valid: the request may have run, and it says little of its server."""
+    """The response was not valid: the request may have been executed.
+
+    Such a response says little about the health of its server.
+    """
 
     CLIENT_ERROR = "client_error"
-    """The server found the request itself invalid, so that a retry would fail in the same way."""
+    """The server found the request itself invalid, so a retry would fail in the same way."""
 
 
 NOT_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
@@ -72,13 +75,13 @@
     """A row of the endpoint list.
 
     Attributes:
-        id: the server's identity, the same at all nodes and over its restarts.
-        state: its lifecycle state.
-        weight: its capacity relative to other endpoints, as listed.
-        machine_type: its kind of machine, by position in the settings.
-        zone: its zone, by position in the settings.
-        cell: the group of servers with which it shares the idempotency keys it has seen.
-        started_ms: when its process last started, 0 if that was long ago.
+        id: the identifier of the server, which is the same at all nodes and after a restart.
+        state: the lifecycle state of the server.
+        weight: the listed capacity of the server, relative to other endpoints.
+        machine_type: the machine type of the server, by position in the settings.
+        zone: the zone of the server, by position in the settings.
+        cell: the group of servers that share the idempotency keys they have seen.
+        started_ms: the time when the server's process last started, 0 if that was long ago.
     """
 
     id: EndpointId
@@ -101,17 +104,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request, which must get one final answer within budget_ms.
+    """The arrival of a client's request, which must get one final answer within budget_ms.
 
     Attributes:
-        request_id: the host's number for it, which is never used twice.
-        class_index: its class, by position in the settings.
-        budget_ms: the time left until its deadline.
-        tenant: its tenant, by position in the settings.
-        key: a hash of the item that it concerns, 0 for none.
-        cost_hint_ms: the client's estimate of its work.
-        is_retry: the client marked it as a retry of an earlier request.
-        is_write: it changes the item.
+        request_id: the number by which the host identifies the request; it is never used twice.
+        class_index: the class of the request, by position in the settings.
+        budget_ms: the time left until the request's deadline.
+        tenant: the tenant of the request, by position in the settings.
+        key: a hash of the item that the request reads or changes, 0 for none.
+        cost_hint_ms: the client's estimate of the request's work, None if there is no estimate.
+        is_retry: whether the client marked the request as a retry of an earlier request.
+        is_write: whether the request changes the item.
     """
 
     request_id: RequestId
@@ -126,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun: from now on its attempt has no timeout and the request no deadline."""
+    """The start of a streamed response, from which on its attempt and its request have no time limit."""
 
     request_id: RequestId
     attempt_number: int
@@ -136,7 +139,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; ``finished`` says that the request needs no further answer."""
+    """The end of an attempt, which is reported once for each attempt.
+
+    Attributes:
+        request_id: the request of the attempt.
+        attempt_number: the number of the attempt among the attempts of the request, counted from 0.
+        endpoint_id: the endpoint that the attempt was sent to.
+        outcome: the outcome of the attempt.
+        elapsed_ms: the time since the attempt was sent.
+        finished: whether the request needs no further answer.
+        load_report: the values of the load report in the response, if it had one, in the order of the
+            load_report_fields of the settings.
+    """
 
     request_id: RequestId
     attempt_number: int
@@ -149,14 +163,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """The client disconnected, or its deadline passed; no final answer is required any more."""
+    """The end of a request whose client disconnected or whose deadline passed; it needs no final answer."""
 
     request_id: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """The result of a health check."""
+    """The end of a health check, with its outcome."""
 
     endpoint_id: EndpointId
     outcome: Outcome
@@ -166,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that SetTimer requested is due."""
+    """The expiry of a timer that a SetTimer action with this token requested."""
 
     token: int
 
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -1,8 +1,8 @@
-"""The typed settings of one node, and the errors that name a setting at fault.
+"""The typed settings of one node, and the error for an invalid setting.
 
-Durations are in milliseconds, rates in units a second and capacities in fractions of a warm server, unless a
-field says otherwise.  Only ``load_balancer.settings_format`` refers to the names that the settings have in a
-configuration file or on the simulator's wire.
+Durations are in milliseconds, rates in units per second and capacities in fractions of a warm server's
+capacity, unless the description of a field says otherwise.  Only ``load_balancer.settings_format`` refers to
+the names that the settings have in a configuration file or in the simulator's protocol.
 """
 
 from __future__ import annotations
@@ -20,16 +20,17 @@
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_TICK_MS = 1.0
 
-SMALLEST_DURATION_MS = 1e-6
-"""The least value of a duration that must not be zero."""
+MIN_DURATION_MS = 1e-6
+"""The minimum value of a duration that must not be zero."""
 
 
 class SettingsError(ValueError):
     """A setting is missing, cannot be read or is out of its range.
 
     Attributes:
-        key: the setting's name: a field of the settings types, or the documented path where it was read.
-        problem: what is wrong with it, including its value.
+        key: the name of the setting: the field of a settings type, or the documented path from which the
+            setting was read.
+        problem: the description of the problem, including the value if there is one.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -39,20 +40,20 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """The effect of a second execution of a request."""
 
     IDEMPOTENT = "safe"
-    """It would do nothing: the request may be repeated freely."""
+    """A second execution has no further effect: the request may be repeated without conditions."""
 
     KEYED = "keyed"
-    """It would do nothing while the servers remember the request's idempotency key."""
+    """A second execution has no further effect while the servers remember the idempotency key."""
 
     NON_IDEMPOTENT = "unsafe"
-    """It would do harm: the request must not run twice."""
+    """A second execution does harm: the request must not be executed twice."""
 
 
 class DeduplicationScope(Enum):
-    """The servers that share their memory of idempotency keys."""
+    """The set of servers that share the idempotency keys they have seen."""
 
     ALL = "all"
     ZONE = "zone"
@@ -64,16 +65,17 @@
     """A class of requests: its latency objective, deadline, priority and idempotency.
 
     Attributes:
-        name: the class as requests name it.
-        latency_objective_ms: an answer within this time has its full value.
-        deadline_ms: how long a client waits for an answer.
+        name: the name by which requests refer to the class.
+        latency_objective_ms: the time within which an answer has its full value.
+        deadline_ms: the time for which a client waits for an answer.
         priority_weight: the value of an answer within the objective.
         late_weight: the fraction of that value that a later answer has.
-        idempotency: what a second execution would do.
-        deduplication_scope: the servers that discard a repetition of the same key.
-        deduplication_window_ms: how long they remember a key, from the first attempt that may have run.
-        streaming: responses are forwarded while they arrive.
-        latency_objective_stretch: the objective grows by this multiple of the request's own work.
+        idempotency: the effect of a second execution.
+        deduplication_scope: the servers that discard a repetition of the same idempotency key.
+        deduplication_window_ms: the time for which these servers remember a key, counted from the first
+            attempt that may have been executed.
+        streaming: whether responses are forwarded while they arrive.
+        latency_objective_stretch: the multiple of the request's own work by which the objective grows.
     """
 
     name: str
@@ -89,7 +91,7 @@
 
     def __post_init__(self) -> None:
         """Raise SettingsError for a value out of its range."""
-        _check_range(self, SMALLEST_DURATION_MS, "latency_objective_ms", "deadline_ms")
+        _check_range(self, MIN_DURATION_MS, "latency_objective_ms", "deadline_ms")
         _check_range(
             self,
             0.0,
@@ -105,9 +107,9 @@
     """One of the organisations whose clients share the service.
 
     Attributes:
-        name: the tenant as requests name it.
-        fraction: its share of the capacity.
-        quota_per_s: its quota in requests per second, over all nodes of the first tier.
+        name: the name by which requests refer to the tenant.
+        fraction: the tenant's share of the capacity.
+        quota_per_s: the tenant's quota in requests per second, over all nodes of the first tier.
     """
 
     name: str
@@ -120,34 +122,38 @@
     """The settings that a node starts with.
 
     Attributes:
-        classes: the classes of requests; events name them by position.
-        tenants: the tenants; events name them by position.
-        node_count: nodes of this tier.
-        node_index: this node's position among them.
+        classes: the classes of requests; events refer to a class by its position.
+        tenants: the tenants; events refer to a tenant by its position.
+        node_count: the number of nodes of this tier.
+        node_index: this node's position among the nodes of this tier.
         tier_index: the tier that this node forwards to, 0 for the first.
         tier_count: the number of tiers.
         zone: this node's zone.
         zone_count: the number of zones.
-        max_attempts: attempts that one request may have.
-        hedging_allowed: a second attempt may start while the first is in flight.
-        cancel_allowed: an attempt may be cancelled.
-        health_checks_allowed: endpoints may be health-checked.
-        retry_after_allowed: a rejection may carry a Retry-After.
+        max_attempts: the maximum number of attempts of one request.
+        hedging_allowed: whether a second attempt may start while the first is in flight.
+        cancel_allowed: whether an attempt may be cancelled.
+        health_checks_allowed: whether the node may send health checks to endpoints.
+        retry_after_allowed: whether a rejection may carry a Retry-After.
         max_retry_after_ms: the longest Retry-After that clients observe.
-        priority_by_work: the priority of a request grows with its work.
-        over_quota_weight: the factor on the priority of a request beyond its tenant's quota.
-        poll_endpoint_list: the node polls for the endpoint list; otherwise changes are pushed.
+        priority_by_work: whether the value of a request grows with its work.  If it does not, the priority of
+            a request is divided by its work.
+        over_quota_weight: the factor by which the priority of a request beyond its tenant's quota is
+            multiplied.
+        poll_endpoint_list: whether the node polls for the endpoint list; otherwise changes are pushed.
         poll_within_ms: the longest time between two polls.
-        use_endpoint_weights: the weights in the endpoint list are meaningful.
-        propagates_deadline: a request to the next tier carries the time left until its deadline.
-        response_slack_ms: how long after its deadline a final answer still counts.
-        drain_grace_ms: how long after the node was notified of a drain an attempt may still be sent.
-        initial_capacity: the capacity of a server that has just started, as a fraction of its full one.
+        use_endpoint_weights: whether the weights in the endpoint list are meaningful.
+        propagates_deadline: whether a request to the next tier carries the time left until its deadline.
+        response_slack_ms: the time after its deadline within which a final answer still counts.
+        drain_grace_ms: the time after the node was notified of a drain within which an attempt may still be
+            sent.
+        initial_capacity: the capacity of a server that has just started, as a fraction of its full capacity.
         warm_up_ms: the longest time until a started server has its full capacity.
-        overload_multiple: a server that warms up fails when sent more than this multiple of its capacity.
-        overload_window_ms: the time over which that load is measured.
-        connect_timeout_ms: how long a connection may take to be established.
-        tick_ms: the shortest time between two batches of events of a host.
+        overload_multiple: the multiple of its capacity above which load makes a server that is warming up
+            fail.
+        overload_window_ms: the time over which this load is measured.
+        connect_timeout_ms: the longest time that establishing a connection may take.
+        tick_ms: the shortest time between two batches of events from the host.
         cross_zone_cost: the relative cost of an attempt in another zone, 0 for none.
         load_report_fields: the fields of a load report, in order.
     """
@@ -194,7 +200,7 @@
         _check_range(
             self, 0.0, "max_retry_after_ms", "over_quota_weight", "cross_zone_cost", "response_slack_ms"
         )
-        _check_range(self, SMALLEST_DURATION_MS, "poll_within_ms")
+        _check_range(self, MIN_DURATION_MS, "poll_within_ms")
 
 
 def _check_range(values: object, minimum: float, *names: str) -> None:
--- a/load_balancer/settings_format.py
+++ b/load_balancer/settings_format.py
@@ -1,7 +1,7 @@
 """Reads typed settings from pairs of documented paths and values.
 
-The simulator's wire and a node's configuration file carry the same settings, so both are read here; the
-rest of the package knows settings by the names of their fields.
+The simulator's protocol and a node's configuration file contain the same settings under the same paths, so
+both are read here.  The rest of the package refers to settings by the names of their fields.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     DEFAULT_POLL_WITHIN_MS,
     DEFAULT_PRIORITY_WEIGHT,
     DEFAULT_TICK_MS,
-    SMALLEST_DURATION_MS,
+    MIN_DURATION_MS,
     DeduplicationScope,
     Idempotency,
     RequestClass,
@@ -33,20 +33,29 @@
 
 
 class SettingsReader:
-    """Typed and checked look-ups in pairs of paths and values; every SettingsError names the path."""
+    """Reads and checks values by their paths; every SettingsError contains the path."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self._values = values
 
     def text(self, path: str, default: str | None = None) -> str:
-        """The text of a value; SettingsError where it is absent and there is no default."""
+        """Return a value as text.
+
+        Raises:
+            SettingsError: the value is absent and there is no default.
+        """
         value = self._values.get(path, default)
         if value is None:
             raise SettingsError(path, "is missing")
         return value
 
     def number(self, path: str, default: float | None = None, minimum: float = 0.0) -> float:
-        """A finite number not below the minimum; an empty value counts as absent."""
+        """Return a value as a number; an empty value counts as absent.
+
+        Raises:
+            SettingsError: the value is absent without a default, is not a number, is infinite or is below the
+                minimum.
+        """
         text = self._values.get(path, "")
         if text == "":
             if default is None:
@@ -61,14 +70,23 @@
         return value
 
     def integer(self, path: str, default: int | None = None, minimum: int = 0) -> int:
-        """A whole number not below the minimum; an empty value counts as absent."""
+        """Return a value as a whole number; an empty value counts as absent.
+
+        Raises:
+            SettingsError: the value is absent without a default, is not a whole number or is below the
+                minimum.
+        """
         value = self.number(path, default, minimum)
         if value != int(value):
             raise SettingsError(path, f"is not a whole number: {value}")
         return int(value)
 
     def flag(self, path: str, default: bool) -> bool:
-        """The text true or false as a bool; an empty value counts as absent."""
+        """Return the value ``true`` or ``false`` as a bool; an empty value counts as absent.
+
+        Raises:
+            SettingsError: the value is neither.
+        """
         text = self._values.get(path, "")
         if text == "":
             return default
@@ -76,13 +94,17 @@
             raise SettingsError(path, f"is neither true nor false: {text!r}")
         return text == "true"
 
-    def names(self, path: str) -> tuple[str, ...]:
-        """The items of a list of plain values; none where it is absent or empty."""
+    def text_list(self, path: str) -> tuple[str, ...]:
+        """Return the items of a comma-separated list; an absent or empty value is an empty list."""
         text = self._values.get(path, "")
         return tuple(text.split(",")) if text else ()
 
     def member(self, path: str, enum: type[EnumType], default: str | None = None) -> EnumType:
-        """The member of an enum with this value; SettingsError where there is none."""
+        """Return the member of an enum that has this value.
+
+        Raises:
+            SettingsError: the value is absent without a default, or no member has it.
+        """
         text = self.text(path, default)
         try:
             return enum(text)
@@ -91,7 +113,7 @@
 
 
 def read_settings(values: Mapping[str, str]) -> Settings:
-    """Settings from pairs of paths and values; unknown paths are ignored.
+    """Return the settings from pairs of paths and values; unknown paths are ignored.
 
     Raises:
         SettingsError: a value is missing, cannot be read or is out of its range.
@@ -105,9 +127,9 @@
         node_count=reader.integer("balancers", 1, 1),
         node_index=reader.integer("ordinal", 0),
         tier_index=reader.integer("stage", 0),
-        tier_count=max(1, len(reader.names("layers"))),
+        tier_count=max(1, len(reader.text_list("layers"))),
         zone=reader.integer("locality", 0),
-        zone_count=max(1, len(reader.names("azs"))),
+        zone_count=max(1, len(reader.text_list("azs"))),
         max_attempts=reader.integer("policyLimits.tryLimit", 1, 1),
         hedging_allowed=reader.flag("policyLimits.mayDuplicate", False),
         cancel_allowed=reader.flag("policyLimits.cancel", False),
@@ -129,7 +151,7 @@
         connect_timeout_ms=reader.number("policyLimits.connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS),
         tick_ms=reader.number("tickMs", DEFAULT_TICK_MS),
         cross_zone_cost=reader.number("tariffs.crossZone", 0.0),
-        load_report_fields=reader.names("loadInfo.columns"),
+        load_report_fields=reader.text_list("loadInfo.columns"),
     )
 
 
@@ -138,8 +160,8 @@
     window_default = None if idempotency is Idempotency.KEYED else 0.0
     return RequestClass(
         name=reader.text(f"{path}.name", ""),
-        latency_objective_ms=reader.number(f"{path}.aimMs", minimum=SMALLEST_DURATION_MS),
-        deadline_ms=reader.number(f"{path}.deadlineMs", minimum=SMALLEST_DURATION_MS),
+        latency_objective_ms=reader.number(f"{path}.aimMs", minimum=MIN_DURATION_MS),
+        deadline_ms=reader.number(f"{path}.deadlineMs", minimum=MIN_DURATION_MS),
         priority_weight=reader.number(f"{path}.worth", DEFAULT_PRIORITY_WEIGHT),
         late_weight=reader.number(f"{path}.lateShare", 0.0),
         idempotency=idempotency,
