--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -11,7 +11,7 @@
     """The limits on how long requests may wait in the queue.
 
     The timeout is short for two reasons.  A client whose request is rejected early can still retry before
-    its deadline.  A request that has queued for long occupies capacity that a later request could use and
+    its deadline.  A request that has queued for long occupies capacity with which a later request could
     still be answered in time.
 
     Attributes:
--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -123,8 +123,8 @@
     def learn_failure(self, endpoint_id: EndpointId, latency: float) -> None:
         """Update the average of an endpoint from a failure, which is never a payoff.
 
-        A failure that was faster than the mean of all averages counts as that mean, and a slow one as at most
-        max_failure_means times the mean, so that neither moves the payoff threshold far.
+        A failure that was faster than the mean of all averages counts as that mean, and a slower failure
+        counts as at most max_failure_means times the mean, so that neither moves the payoff threshold far.
         """
         i = self._index.get(endpoint_id)
         mean = self.mean()
--- a/load_balancer/policy/circuit_breakers.py
+++ b/load_balancer/policy/circuit_breakers.py
@@ -60,7 +60,7 @@
         """Return whether the breaker of an endpoint with this failure rate may open.
 
         The endpoint must fail more often than its peers, and the number of excluded endpoints must stay below
-        its maximum.  An error may also be caused by a tier further in: the more often the peers fail over the
+        its maximum.  An error may also be caused by an inner tier: the more often the peers fail over the
         long term, the longer the run of errors that opens a breaker.
         """
         return (
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -11,14 +11,18 @@
 
 
 class CapacityParameters(NamedTuple):
-    """The number of attempts in flight that the listed servers sustain, regardless of current latencies.
+    """The parameters of the capacity bound.
+
+    The capacity bound is the number of attempts in flight that the listed servers sustain, regardless of how
+    latencies compare with their targets.
 
     Attributes:
         initial_per_server: the attempts in flight per warm server's worth of capacity, both at the start and
             as the bound while few attempts are in service.  A server with more attempts waiting becomes slow.
             The value is for two tiers: with more tiers a server also holds the attempts that wait for the
             tiers behind it.
-        in_service_margin: the bound per attempt in service; it applies if responses take long.
+        in_service_margin: the bound per attempt in service, that is, not waiting in a queue.  It applies if
+            responses inherently take long.
         reference_tiers: the number of remaining tiers at which the depth factor, by which both bounds are
             multiplied, is 1.
     """
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -156,7 +156,7 @@
             self._update_baseline(mean)
 
     def record_latency_ratio(self, ratio: float) -> None:
-        """Record a latency ratio and the present number of attempts in flight, and update the congestion."""
+        """Record a latency ratio and the current number of attempts in flight, and update the congestion."""
         now = self._context.now
         factor = (now - self._ratio_recorded_at) / self._averaging_ms
         self._ratio_recorded_at = now
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -20,7 +20,7 @@
     Args:
         record: the record of the endpoint.
         timeout_ms: the time that is too long if one attempt is in flight.
-        now: the present time in milliseconds.
+        now: the current time in milliseconds.
     """
     if not record.in_flight:
         return False
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -67,7 +67,7 @@
         return all(r.outlier.ejected or self.capacity_fraction(r) < 1.0 for r in records)
 
     def capacity_fraction(self, record: EndpointRecord) -> float:
-        """Return the minimum present capacity of a server, as a fraction of its full capacity.
+        """Return the minimum current capacity of a server, as a fraction of its full capacity.
 
         The fraction grows linearly from the initial capacity to 1 over the warm-up time.
         """
@@ -121,7 +121,7 @@
 
         Args:
             record: the record of the server.
-            fraction: its capacity fraction.
+            fraction: the capacity fraction of the server.
             work: the work of the attempt.
             rate_per_warm_server: the result of rate_per_warm_server.
             min_rate: the result of min_rate.
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -10,7 +10,7 @@
 from load_balancer.state.endpoint_records import EndpointRecord
 
 _DIGEST_BYTES = 6
-"""The length of the hashes that determine the positions of endpoints on a ring."""
+"""The length in bytes of the hashes that determine the positions of endpoints on a ring."""
 
 
 class SubsetParameters(NamedTuple):
@@ -45,10 +45,11 @@
         self.in_subset: list[bool] = []
 
     def prefer_local(self, usable: list[int]) -> list[int]:
-        """Return the usable endpoints in the node's subset, in its zone, or all of them, in this preference.
+        """Return the indices of the usable endpoints that this node prefers.
 
-        The subset and the zone must each contain at least min_local usable endpoints to be preferred.  The
-        zone counts only if attempts in other zones have a cost.
+        These are the usable endpoints in the node's subset if there are at least min_local.  Otherwise, if
+        attempts in other zones have a cost, they are the usable endpoints in the node's zone if there are at
+        least min_local.  Otherwise they are all usable endpoints.
         """
         in_subset = self.in_subset
         subset = [i for i in usable if in_subset[i]]
@@ -86,8 +87,8 @@
     nodes are spaced evenly, and each node takes the endpoints that follow it.  As a result, all endpoints get
     the same number of nodes, and a new list changes few subsets.
     """
-    ring_number, ring_index = divmod(node_index, subset_count)
-    start = ring_index / subset_count
+    ring_number, position_in_group = divmod(node_index, subset_count)
+    start = position_in_group / subset_count
     rings: dict[int, list[tuple[float, EndpointId]]] = {}
     for record in records:
         distance = (_ring_position(record.endpoint.id, ring_number) - start) % 1.0
--- a/load_balancer/state/context.py
+++ b/load_balancer/state/context.py
@@ -25,7 +25,7 @@
         requests: the records of requests and attempts.
         sequence: the common counter that numbers requests, timers and wake-ups.
         timers: the pending timers.
-        actions: the actions that the present event has caused so far.
+        actions: the actions that the current event has caused so far.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
--- a/load_balancer/state/timer_queue.py
+++ b/load_balancer/state/timer_queue.py
@@ -56,7 +56,7 @@
         Timers that are added during the iteration are included if they are due.
 
         Args:
-            now: the present time in milliseconds.
+            now: the current time in milliseconds.
             token: the token of the wake-up.
         """
         self._wake_ups.pop(token, None)
