--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -193,7 +193,7 @@
                 self._cancel_attempts(request)
                 return
             if self._dispatch(request, final_attempt=False):
-                self.retries.spend()
+                self.retries.take_token()
                 return
         self.retries.schedule_late_check(request)
 
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -17,7 +17,7 @@
         target_ratio: the target of the mean latency ratio at the first tier; it is lower at inner tiers.
         target_baseline_multiple: the minimum of the target, as a multiple of the baseline ratio.  It applies
             if the objective leaves little margin above the baseline.
-        max_ratio: the maximum that a single late response contributes to the mean ratio.
+        max_ratio: the maximum with which a single late response enters the mean latency ratio.
         max_baseline_multiple: the bound of the mean latency, as a multiple of the baseline latency.
         sparse_max_baseline_multiple: the bound that replaces max_baseline_multiple when the averages span the
             fewest responses.
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -11,7 +11,10 @@
 from load_balancer.state.timer_queue import TimerKind
 
 MAX_NOTIFICATION_DELAY_MS = 6000.0
-"""The time after which a node counts as notified of a change that a reachable discovery service has."""
+"""The time in milliseconds after which a node counts as notified of a change of the endpoint list.
+
+The time starts when the discovery service has the change and can be reached by the node.
+"""
 
 POLL_BACKOFF_MAX_MS = MAX_NOTIFICATION_DELAY_MS / 6
 """The longest backoff between polls, in milliseconds.
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -52,7 +52,7 @@
         """Add the tokens of an arriving request to the retry budget."""
         self.tokens = min(PARAMETERS.max_tokens, self.tokens + PARAMETERS.tokens_per_arrival)
 
-    def spend(self) -> None:
+    def take_token(self) -> None:
         """Take a token for a further attempt out of the retry budget."""
         self.tokens -= 1.0
 
@@ -71,7 +71,7 @@
         needs_token = outcome is Outcome.REJECTED or request.first_possible_run() is not None
         denial_reason = self._denial_reason(request, outcome, needs_token)
         if denial_reason is None and needs_token:
-            self.spend()
+            self.take_token()
         return denial_reason
 
     def _denial_reason(self, request: Request, outcome: Outcome, needs_token: bool) -> FinishReason | None:
