--- a/load_balancer/proxy/downstream/connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -197,7 +197,7 @@
             return
         self._arrived_at_s = self.owner.iterations.earliest_arrival()
         if not self.answered and self._arrived_at_s <= self.waiting_since:
-            # The input may have arrived before the connection was accepted, while it was in the backlog.
+            # The input may have arrived while the connection was in the backlog, before it was accepted.
             self._arrived_at_s = self._accepted_after
         self.last_input_at = self.owner.now()
         if self.answered and self.phase is IDLE:
@@ -205,10 +205,10 @@
         try:
             self._reader.feed(data)
         except HttpMessageError as error:
-            self.respond_early(error.status)
+            self.respond_with_error(error.status)
         except Exception:
             log.exception("request_read_failed")
-            self.respond_early(500)
+            self.respond_with_error(500)
         self._update_reading()
 
     def _on_request(self, message: HttpMessage) -> None:
@@ -221,7 +221,7 @@
                 raise HttpMessageError(400, "too many pipelined requests")
             self.received_api_request |= self.owner.route(message, slot)
         except HttpMessageError as error:
-            self.respond_early(error.status, slot)
+            self.respond_with_error(error.status, slot)
         except Exception:
             # An unexpected error must affect only this request, and the request must still get a response.
             log.exception("request_failed")
@@ -234,9 +234,10 @@
         self._reader.stop()
 
     def eof_received(self) -> bool:
-        """End all requests of the client, which has closed its side; called by the event loop.
+        """End all requests of the connection after the client has closed its side; called by the event loop.
 
-        Output that was written before is still sent.
+        Returns:
+            False, which makes the event loop close the connection once all written output has been sent.
         """
         self.state = FINISHED
         self._responses.abandon_all()
@@ -263,7 +264,10 @@
     # Sending responses.
 
     def flush(self) -> None:
-        """Send the available responses in order, up to the first request that has no response yet."""
+        """Send the available responses in order, up to the first request that has no response yet.
+
+        No response is sent after a response that closes the connection.
+        """
         if not self.transport.is_attached:
             return
         responses = self._responses
@@ -279,11 +283,12 @@
                 return
         self._update_reading()
 
-    def respond_early(self, status: int, slot: ResponseSlot | None = None) -> None:
-        """Send an error response to invalid or late input after the open requests before it, and close.
+    def respond_with_error(self, status: int, slot: ResponseSlot | None = None) -> None:
+        """Send an error response to invalid or late input, and close the connection.
 
-        The open requests have OPEN_REQUESTS_TIMEOUT_S for their responses.  After this time they are answered
-        with the same error status, because the protocol limits the time until the error response.
+        The error response follows the responses to the earlier requests.  Earlier requests that are still
+        open have OPEN_REQUESTS_TIMEOUT_S for their responses.  After this time they are answered with the
+        same error status, because the protocol limits the time until the error response.
 
         Args:
             status: the status code of the error response.
@@ -303,7 +308,10 @@
             )
 
     def _finish(self) -> None:
-        """Start to close the connection after the last response, with a wait for the client to read it."""
+        """Start to close the connection after its last response has been written.
+
+        The client has LINGER_S to read the response before the connection is aborted.
+        """
         self.state = FINISHED
         self.owner.table.update_eviction(self)
         self.end_input()
@@ -335,7 +343,10 @@
         self.transport.close()
 
     def _record_close(self, reason: CloseReason) -> None:
-        """Count the close by its reason, unless the connection is already closing or lost."""
+        """Count the close by its reason and report unanswered requests.
+
+        Do nothing if the connection is already closing or lost.
+        """
         if self.transport.is_open:
             self.owner.counters.closed[reason] += 1
             self._report_unanswered(reason)
@@ -361,7 +372,8 @@
         """Pause or resume reading, to limit the memory that one client can use.
 
         Reading pauses while the client does not read its responses, while PAUSE_READING_AT requests are open,
-        and after MAX_DISCARDED_BYTES of discarded input.
+        and after MAX_DISCARDED_BYTES of discarded input.  This method also updates the position of the
+        connection in the eviction queues.
         """
         self.owner.table.refresh_eviction(self)
         if not self.transport.is_open:
--- a/load_balancer/proxy/downstream/response_queue.py
+++ b/load_balancer/proxy/downstream/response_queue.py
@@ -28,10 +28,11 @@
             slot.abandon()
 
     def fail_open_requests(self, status: int) -> None:
-        """Answer every open request with this status code.
+        """Answer every request that has no response yet with this status code.
 
-        The last slot holds the response to invalid input.  This slot is removed, because the response before
-        it now has the same status code and closes the connection.
+        The last slot holds the error response to invalid or late input.  This slot is removed, because the
+        response before it now closes the connection and has the same status code, unless that response was
+        already available.
         """
         if self:
             self.pop()
--- a/load_balancer/proxy/downstream/timeouts.py
+++ b/load_balancer/proxy/downstream/timeouts.py
@@ -51,7 +51,7 @@
     def has_unread_input(self) -> bool:
         """Return whether unread input has arrived while the connection still accepts requests."""
 
-    def respond_early(self, status: int) -> None:
+    def respond_with_error(self, status: int) -> None:
         """Send an error response to invalid or late input, and close the connection."""
 
     def abort(self, reason: CloseReason) -> None:
@@ -62,7 +62,7 @@
 
 
 def enforce_timeouts(connection: TimedConnection, now: float) -> None:
-    """Answer or close the connection if it has exceeded the timeout of its phase.
+    """Close the connection, or answer its incomplete request, if the timeout of its phase has expired.
 
     The caller must call this function every TIMEOUT_CHECK_INTERVAL_S.  While a response is due, no timeout of
     the connection applies, except that the client must read its earlier responses.  The request has its own
@@ -78,7 +78,7 @@
             connection.abort(CloseReason.RESPONSE_UNREAD)
     elif phase is RECEIVING:
         if _request_timed_out(connection, now):
-            connection.respond_early(408)
+            connection.respond_with_error(408)
     elif phase is IDLE and _idle_timed_out(connection, now):
         connection.close(CloseReason.IDLE if connection.received_api_request else CloseReason.UNUSED)
 
