--- a/load_balancer/proxy/downstream/client_transport.py
+++ b/load_balancer/proxy/downstream/client_transport.py
@@ -16,7 +16,8 @@
 class ClientTransport:
     """A wrapper of the asyncio transport of one client connection.
 
-    Before the connection is made and after it is lost, the methods that act on the transport do nothing.
+    Before the connection is made and after it is lost, the methods that act on the transport do nothing, and
+    the methods and properties that query the transport return False or None.
 
     Attributes:
         is_attached: whether the connection has been made and not lost.  The connection may be closing.
--- a/load_balancer/proxy/downstream/connection_table.py
+++ b/load_balancer/proxy/downstream/connection_table.py
@@ -22,9 +22,9 @@
 # Fewer unused connections than this do not count as a connection burst, even if the connection limit is
 # small.
 MIN_BURST_CONNECTIONS = 5
-# The grace period in which an unused connection is not evicted, if more than MAX_UNUSED_FRACTION of the
-# connections are unused, but fewer than MIN_BURST_CONNECTIONS.  In this time the request of a new connection
-# can arrive.
+# The grace period in which an unused connection is not evicted, if the number of unused connections exceeds
+# MAX_UNUSED_FRACTION of the connection limit but is less than MIN_BURST_CONNECTIONS.  In this time the
+# request of a new connection can arrive.
 SMALL_TABLE_GRACE_S = 0.05
 
 
@@ -32,8 +32,8 @@
     """The open connections of a ``DownstreamServer``.
 
     Attributes:
-        max_connections: the limit for open connections.  A few more are accepted, and their requests are
-            answered 503.
+        max_connections: the limit for open connections.  A few more connections are accepted.  While the
+            limit is exceeded, new requests under /api are answered 503.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -67,9 +67,9 @@
     # Limits.
 
     def is_over_limit(self) -> bool:
-        """Return whether more connections than the limit are open because none could be evicted.
+        """Return whether more connections than the limit are open.
 
-        Requests are rejected in this case.
+        This occurs if no connection could be evicted.  New requests under /api are then rejected.
         """
         return len(self._connections) > self.max_connections
 
--- a/load_balancer/proxy/downstream/disconnect_poller.py
+++ b/load_balancer/proxy/downstream/disconnect_poller.py
@@ -7,13 +7,13 @@
 from load_balancer.proxy.downstream.connection import DownstreamConnection
 
 # The interval between polls in seconds.  While a connection is not read, only a poll of its socket shows that
-# the client has left.  Each attempt polls the socket before it starts.  The polls at this interval also end
-# the requests of clients that have left if no attempt starts.
+# the client has left.  Each attempt polls the socket before it starts.  A request that waits and starts no
+# attempt needs the polls at this interval: they end the request if its client has left.
 DISCONNECT_CHECK_S = 0.1
 
 
 class DisconnectPoller:
-    """Polls the sockets of the connections that are not read, and ends those whose clients have left."""
+    """Polls the sockets of the connections that are not read, and closes those whose clients have left."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -36,7 +36,7 @@
         self._paused.discard(connection)
 
     def cancel(self) -> None:
-        """Stop the polls of all connections."""
+        """Stop polling all connections."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/load_balancer/proxy/downstream/eviction.py
+++ b/load_balancer/proxy/downstream/eviction.py
@@ -153,7 +153,7 @@
             del self._queues[priority][connection]
 
     def candidates(self) -> Iterator[Connection]:
-        """Return an iterator over the first SCAN_LIMIT connections of each queue, by priority.
+        """Return an iterator over the first SCAN_LIMIT connections of each queue, in the order of eviction.
 
         The queues must not be changed while the iterator is in use.
         """
--- a/load_balancer/proxy/downstream/listener.py
+++ b/load_balancer/proxy/downstream/listener.py
@@ -1,9 +1,9 @@
 """The listening socket, which accepts connections only while the node has capacity for them.
 
-The server of the event loop would accept every connection in the backlog.  If no file descriptor is free, its
-library accepts a connection with a spare descriptor and closes the connection at once.  But the operating
-system has already accepted this connection, and its request counts as received.  The listener in this module
-leaves such a connection in the backlog until the node can serve it.
+The event loop's own server would accept every connection in the backlog.  If no file descriptor is free, the
+library of the event loop accepts a connection with a spare descriptor and closes the connection at once.  But
+the operating system has already accepted this connection, and its request counts as received.  The listener
+in this module leaves such a connection in the backlog until the node can serve it.
 """
 
 from __future__ import annotations
@@ -155,7 +155,7 @@
         self._waiting_since = arrived_after
 
     def _arrived_after(self) -> float:
-        """Return the monotonic time after which all connections that are accepted now arrived, in seconds."""
+        """Return a monotonic time, in seconds, after which all connections accepted now have arrived."""
         arrived_after = self._iterations.earliest_arrival()
         if self._waiting_since is None:
             return arrived_after
--- a/load_balancer/proxy/downstream/request_router.py
+++ b/load_balancer/proxy/downstream/request_router.py
@@ -8,7 +8,8 @@
 from load_balancer.proxy.downstream.response_slot import ResponseSlot
 from load_balancer.proxy.http.reader import HttpMessage, HttpMessageError
 
-OVERLOAD_RETRY_AFTER_S = 0.5  # the Retry-After value of requests that are rejected for lack of capacity
+# The Retry-After value of the responses to requests that are rejected for lack of capacity.
+OVERLOAD_RETRY_AFTER_S = 0.5
 
 AcceptRequest = Callable[[ParsedRequest, ResponseSlot], None]
 """Takes over a valid request, which will be answered through its response slot."""
--- a/load_balancer/proxy/http/reader.py
+++ b/load_balancer/proxy/http/reader.py
@@ -258,12 +258,13 @@
             self._complete(keep_alive=False)
 
     def _check_framing(self, message: HttpMessage) -> None:
-        """Determine how the body of a message ends, and reject an unsupported framing or a too large body.
+        """Determine how the body of a message ends, and reject unsupported framing and bodies over the limit.
 
         The end of a body is given by Content-Length, by chunked encoding, or, for a response only, by the
         close of the connection.  httptools itself rejects a message with both headers and a Content-Length
         that is not a number.  A response without either header ends when the sender closes the connection
-        (RFC 9112, section 6.3).  A connection reset does not count as this close.
+        (RFC 9112, section 6.3), unless its status code implies that it has no body.  A connection reset does
+        not count as this close.
         """
         length = message.headers.get(CONTENT_LENGTH)
         coding = message.headers.get(TRANSFER_ENCODING)
@@ -279,9 +280,10 @@
             self._state = _BODY_UNTIL_CLOSE
 
     def _count_head_bytes(self, size: int) -> None:
-        """Add to the size of the current head, and fail if it exceeds the limit.
+        """Add to the size of the current head and trailers, and fail if the size exceeds the limit.
 
-        This also rejects a head that is complete within one piece of input, before its message is passed on.
+        A head that exceeds the limit is rejected before its message is passed on, even if the head is
+        complete within one piece of input.
         """
         self._head_size += size
         if self._head_size > MAX_HEAD_BYTES:
