--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -73,7 +73,7 @@
         client = await environment.connect_client()
         client.writer.write(b"".join(request("look") for _ in range(300)))
         statuses = [(await client.read_response()).status for _ in range(MAX_PIPELINED_REQUESTS)]
-        assert set(statuses) <= {400, 503}, "400, or 503 if the policy rejected the request"
+        assert set(statuses) <= {400, 503}, "a status other than 400, or 503 for a rejection by the policy"
         assert await client.ends_without_output()
         assert len(recorder.budgets) == MAX_PIPELINED_REQUESTS
         assert not environment.node.requests
--- a/tests/proxy/downstream/test_connection_table.py
+++ b/tests/proxy/downstream/test_connection_table.py
@@ -85,7 +85,10 @@
 
 @async_test
 async def test_connection_with_unread_request_is_not_evicted() -> None:
-    """Check that a request that has arrived unread is answered; a close would reset the connection."""
+    """Check that a connection with an unread request stays open and that the request is answered.
+
+    The request counts as accepted.  A close would reset the connection without a response.
+    """
     async with (
         StubServer([reply("200 OK", b"x")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
@@ -160,7 +163,10 @@
 
 @async_test
 async def test_new_connections_in_small_table_have_time_to_send_requests() -> None:
-    """Check that a small table evicts no new connection, but leaves the next one in the backlog."""
+    """Check that no new connection in a small table is evicted, and that the next client gets a response.
+
+    The connection of the next client waits in the backlog at first.
+    """
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address), sockets=30) as environment,
--- a/tests/proxy/downstream/test_disconnect_poller.py
+++ b/tests/proxy/downstream/test_disconnect_poller.py
@@ -30,9 +30,9 @@
 async def test_client_that_leaves_while_reading_is_paused_is_detected(
     leave: Callable[[Client], None],
 ) -> None:
-    """Check that a client is found to have left although a third, unread request precedes its close.
+    """Check that the node detects that a client has left although an unread request precedes the close.
 
-    Two responses are due, so the node does not read the connection.
+    Two responses are due, so the node does not read the third request from the connection.
     """
     async with (
         StubServer([when_released(reply("200 OK"))]) as endpoint,
--- a/tests/proxy/downstream/test_request_parsing.py
+++ b/tests/proxy/downstream/test_request_parsing.py
@@ -54,7 +54,9 @@
         client = await environment.connect_client()
         client.writer.write(invalid_request)
         assert (await client.read_response()).status == status
-        assert await client.ends_without_output(), "the client can repeat invalid requests at full speed"
+        assert (
+            await client.ends_without_output()
+        ), "the connection stays open, so the client can repeat invalid requests at full speed"
         assert not endpoint.received
         assert (await (await environment.connect_client()).fetch("look")).status == 200
 
--- a/tests/proxy/downstream/test_timeouts.py
+++ b/tests/proxy/downstream/test_timeouts.py
@@ -37,7 +37,10 @@
 
 @async_test
 async def test_stalled_later_request_is_answered_within_3_s() -> None:
-    """Check that the time limit for an error response is not longer for a later request on a connection."""
+    """Check that a later request on a connection has the same time limit for an error response as the first.
+
+    The client stops sending in the middle of the later request.
+    """
     async with (
         StubServer([reply("200 OK")]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
