--- a/load_balancer/proxy/discovery/endpoint_discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Keeps a watch on the endpoint list, and replaces the watch when it ends or the address changes."""
+"""Keeps a watch on the endpoint list; replaces it when it ends or when the address of discovery changes."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     WATCHING = auto()
     """There is one watch, which is open or being opened."""
     MOVING = auto()
-    """A successor is being opened at the new address; the old watch is kept as long as it works."""
+    """A successor is being opened at the new address; the old watch, if any, is kept as long as it works."""
     MOVE_BACKOFF = auto()
     """The old watch works; another successor is opened after the reconnect delay."""
     RECONNECT_BACKOFF = auto()
@@ -67,8 +67,10 @@
 class EndpointDiscovery:
     """Keeps at most one watch, and a successor that replaces it after the address of discovery has changed.
 
-    If lists are pushed, the watch connects to the agent on the node's own machine.  Such a watch costs
-    nothing, is opened without a poll by the policy, and its failures say nothing about the endpoint list.
+    If lists are pushed, the watch connects to the agent on the node's own machine.  Such a watch stays on
+    that machine, so it costs nothing and is opened without a poll by the policy.  Its failures say nothing
+    about the endpoint list and are not reported.
+
     When the address of discovery changes, the old watch is kept until the watch at the new address has
     received input; a failure is reported only when neither watch is left.  See DiscoveryState.
     """
@@ -117,7 +119,10 @@
 
     @property
     def version(self) -> int:
-        """The version of the last endpoint list received; before the first, the version passed to start."""
+        """The version of the last endpoint list or change received.
+
+        Before the first list is received, this is the version that was passed to ``start``.
+        """
         return self._version
 
     @property
@@ -127,7 +132,7 @@
 
     @property
     def watch(self) -> DiscoveryWatch | None:
-        """The watch, open or being opened, apart from a successor; None if there is none."""
+        """The current watch, which is open or being opened, but never a successor; None if there is none."""
         return self._watch
 
     @property
@@ -159,8 +164,8 @@
     def move(self, address: Address) -> None:
         """Change the address of discovery.
 
-        A watch at the new address replaces the old watch as soon as it receives input.  Before the first call
-        of ``subscribe``, only the address is stored.
+        A new watch is opened at this address.  When it receives its first input, it replaces the old watch.
+        Before the first call of ``subscribe``, only the address is stored.
         """
         if address == self._address:
             return
@@ -217,7 +222,7 @@
         self._on_listing(listing)
 
     def watch_active(self, watch: DiscoveryWatch) -> None:
-        """Record that the watch has received input; a successor then replaces the old watch."""
+        """Record that the watch has received input; if it is the successor, it replaces the old watch."""
         self._has_received_input = True
         if watch is self._successor:
             if self._watch is not None:
@@ -244,7 +249,10 @@
         self._reconnect_timer = self._loop.call_later(self._timing.reconnect_delay_s, self._open_successor)
 
     def _on_all_ended(self) -> None:
-        """Reconnect after a delay if lists are pushed, else report the failure; no watch is left."""
+        """Handle the end of the last watch.
+
+        Open a new watch after the reconnect delay if lists are pushed; otherwise, report the failure.
+        """
         self._close_watches()
         if self._pushed:
             self._state = DiscoveryState.RECONNECT_BACKOFF
--- a/load_balancer/proxy/discovery/endpoint_listing.py
+++ b/load_balancer/proxy/discovery/endpoint_listing.py
@@ -1,4 +1,4 @@
-"""Parsing of the endpoint list that discovery sends into typed endpoints and their addresses."""
+"""Parses the endpoint lists that discovery sends; the results are typed endpoints and their addresses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     """The value is not an endpoint list.
 
     Attributes:
-        problem: the invalid field and what is wrong with it.
+        problem: the description of the error, for log lines.
     """
 
     def __init__(self, problem: str) -> None:
@@ -34,7 +34,7 @@
     """An endpoint list, or changes to one.
 
     Attributes:
-        version: the version that discovery assigns to the state after this list or change.
+        version: the version that discovery has assigned to this list, or to the list after these changes.
         complete: whether the listing contains all endpoints; otherwise, it contains only changed endpoints.
         endpoints: the endpoints, in the order of the list.
         addresses: the addresses of the endpoints, by endpoint id.
@@ -60,7 +60,7 @@
 
 
 class ListingReader:
-    """Parses endpoint lists; translates the names of zones and machine types into the indices of the policy.
+    """Parses endpoint lists; translates the names of zones and machine types into indices for the policy.
 
     Attributes:
         zones: the names of the zones, in the order of the settings.
@@ -80,7 +80,7 @@
         try:
             return self._read(raw)
         except KeyError as error:
-            raise ListingError(f"{error} is missing or unknown") from None
+            raise ListingError(f"{error} is a missing field or an unknown lifecycle") from None
         except (TypeError, ValueError, AttributeError, OverflowError) as error:
             raise ListingError(f"not an endpoint list: {error}") from None
 
@@ -114,6 +114,7 @@
     """Return the value as a float.
 
     Raises:
+        OverflowError: the value is an integer that is too large for a float.
         TypeError: the value has a type that cannot be converted.
         ValueError: the value is infinite or not a number.
     """
@@ -127,8 +128,8 @@
     """Return the index of a name in the settings.
 
     A number is returned unchanged.  For a name that is not in the settings, the index is computed from a
-    checksum of the name and is greater than those of the known names.  It is not stored, so that new names
-    take no memory.
+    checksum of the name and is greater than those of the known names.  The computed index is not stored, so
+    that new names take no memory.
     """
     if isinstance(name, int):
         return name
--- a/load_balancer/proxy/discovery/json_stream.py
+++ b/load_balancer/proxy/discovery/json_stream.py
@@ -1,9 +1,11 @@
-"""Splits a stream of JSON objects into its objects, whatever their layout and the division of the input.
+"""Splits a stream of JSON objects into its objects.
+
+The objects may have any layout, and the input may be divided into pieces at any byte.
 
 An object may be on one line or be indented over several lines; blank lines between objects are heartbeats.
 Malformed input is detected as soon as its line is complete, without waiting for more input.  This is possible
-because no JSON token contains a line break: text at the end of a line that is not a token can never become
-a token.
+because no JSON token contains a line break: if the text at the end of a line is not a token, no further input
+can complete it.
 """
 
 from __future__ import annotations
--- a/load_balancer/proxy/discovery/watch.py
+++ b/load_balancer/proxy/discovery/watch.py
@@ -66,8 +66,8 @@
     def watch_ended(self, watch: DiscoveryWatch, /) -> None:
         """Handle the end of the watch.
 
-        The watch could not be opened, its connection was closed, no input came in time, or the input was
-        malformed.
+        Possible causes: the watch could not be opened, the response had a status other than 200, discovery
+        ended the stream, the connection was closed, no input came in time, or the input was malformed.
         """
 
 
@@ -81,7 +81,7 @@
     def __init__(
         self, owner: WatchOwner, address: Address, version: int, *, response_timeout_s: float
     ) -> None:
-        """Start to open the watch.
+        """Start opening the watch.
 
         Args:
             owner: receives the objects, and is notified of the end.
@@ -172,7 +172,7 @@
             self._end()
             return
         self._owner.watch_active(self)
-        # An interrupted network link is not reported; a watch without input within its timeout has failed.
+        # An interrupted network link is not reported, so a watch that receives no input in time has failed.
         if not self._objects.in_object:
             self._state = WatchState.LISTENING
             self._set_timer(SILENCE_TIMEOUT_S)
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -56,7 +56,7 @@
         assert len([record for record in caplog.records if "discovery" in record.message]) <= 1
         assert (
             await (await environment.connect_client()).fetch("look")
-        ).status == 200, "the last valid list stays in use"
+        ).status == 200, "the last valid list is no longer in use"
 
 
 @async_test
