--- a/load_balancer/proxy/upstream/connection.py
+++ b/load_balancer/proxy/upstream/connection.py
@@ -22,14 +22,14 @@
 class ConnectionState(Enum):
     """The state of a connection to an endpoint.
 
-    ==================  ==================  ===================================================
+    ==================  ==================  ========================================================
     from                to                  when
-    ==================  ==================  ===================================================
+    ==================  ==================  ========================================================
     CONNECTING          IDLE                the handshake is complete
     IDLE                IN_FLIGHT           a request is written
-    IN_FLIGHT           IDLE                the response is complete, without surplus bytes after it
+    IN_FLIGHT           IDLE                a keep-alive response is complete, without surplus bytes
     IDLE, IN_FLIGHT     CLOSED              the node or the endpoint closes the connection
-    ==================  ==================  ===================================================
+    ==================  ==================  ========================================================
 
     A connection that is not CLOSED yet may already be closing: when the endpoint closes a connection, the
     transport knows about the close before it calls ``connection_lost``.
@@ -72,8 +72,8 @@
     """A connection to an endpoint, which carries one request at a time.  See ConnectionState.
 
     Attributes:
-        idle_since: when the connection last became idle, in the time of the event loop; 0 before its first
-            request.
+        idle_since: when the owner last kept the connection for later requests, in the time of the event loop;
+            0 if the owner has not kept it yet.
     """
 
     def __init__(self, endpoint_name: str, owner: ConnectionOwner) -> None:
@@ -83,7 +83,7 @@
         self._idle_before_request_s = 0.0
         self._state = _CONNECTING
         self._request: UpstreamRequest | None = None  # not None exactly while IN_FLIGHT
-        self._response: HttpMessage | None = None  # complete, but not reported yet
+        self._response: HttpMessage | None = None  # the complete response, until it is reported
         self._reader = HttpReader(self._on_response, requests=False)
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
@@ -95,7 +95,10 @@
 
     @property
     def idle_before_request_s(self) -> float:
-        """The idle time in seconds before the current request, or else the last one, was written."""
+        """How long the connection was idle before its latest request was written, in seconds.
+
+        0 if the owner had not kept the connection before that, or if no request has been written yet.
+        """
         return self._idle_before_request_s
 
     def is_open(self) -> bool:
@@ -103,7 +106,7 @@
         return self._transport is not None and not self._transport.is_closing()
 
     def has_no_unread_input(self) -> bool:
-        """Return whether the connection is open, without unread bytes and without an unnoticed close."""
+        """Return whether the connection is open, has no unread bytes and was not closed by the endpoint."""
         if not self.is_open():
             return False
         assert self._transport is not None
@@ -166,7 +169,10 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Handle the close; end the request in flight, if any, which the endpoint may have processed."""
+        """Notify the owner of the close, and end the request in flight, if any.
+
+        The outcome of the request is RESET, because the endpoint may have processed the request.
+        """
         self._owner.connection_closed(self)
         self._fail(Outcome.RESET)
 
--- a/load_balancer/proxy/upstream/connection_opener.py
+++ b/load_balancer/proxy/upstream/connection_opener.py
@@ -20,9 +20,10 @@
 
 # Fraction of the connect timeout after which another connection is opened in parallel.
 PARALLEL_CONNECT_DELAY_FRACTION = 1 / 6
-MAX_PARALLEL_CONNECTS = 3  # connections opened in parallel for one request
-# Limit on opening one connection.  When the first packet of a handshake is lost, it is sent again after one
-# second (RFC 6298) and the handshake can complete.  The connection is then still useful for a later request.
+MAX_PARALLEL_CONNECTS = 3  # connections opened in parallel for one request, including the first
+# Timeout for opening one connection.  When the first packet of a handshake is lost, it is sent again after
+# one second (RFC 6298), and the handshake can complete.  The connection is then still useful for a later
+# request.
 MAX_CONNECT_S = 2.0
 
 log = logging.getLogger(__name__)
@@ -48,8 +49,9 @@
 
         The caller must have checked that the connection limit allows one more connection.  The request ends
         with CONNECT_FAILED if no connection is established in time or the endpoint refuses the connection.
-        It ends with NOT_SENT if its response is no longer wanted or if the endpoint's process has been
-        replaced by the time that a connection is established.
+        It ends with NOT_SENT if its deadline expires after a connect has failed on the node's own machine.
+        It also ends with NOT_SENT if, by the time that a connection is established, its response is no longer
+        wanted, it may not be written, too little time is left, or the pool is retired.
         """
         waiting = WaitingRequest(pool, request)
         waiting.begin_connecting(self._connect_timeout_s, self._give_up)
@@ -98,7 +100,8 @@
     def _on_connected(self, pool: EndpointPool, connection: UpstreamConnection) -> None:
         """Write the request that has waited longest to the connection.
 
-        If no waiting request can be written, keep the connection for later requests.
+        A request that can no longer be written is ended, and the next waiting request is tried.  If no
+        waiting request can be written, the connection is kept for later requests.
         """
         while (waiting := self._waiting.first(pool)) is not None:
             self._waiting.finish(waiting)
--- a/load_balancer/proxy/upstream/endpoint_pool.py
+++ b/load_balancer/proxy/upstream/endpoint_pool.py
@@ -74,7 +74,10 @@
 
     @property
     def retired(self) -> bool:
-        """Whether the process is draining, removed or replaced, so that its connections are not kept."""
+        """Whether the pool keeps no connections any more.
+
+        This is the case when the process is draining, was removed from the endpoint list or was replaced.
+        """
         return self._retired
 
     @property
@@ -155,7 +158,7 @@
         self.close_idle()
 
     def reap_idle(self, now: float) -> None:
-        """Raise the idle timeout by one recovery step, and close the connections that exceed it.
+        """Raise the idle timeout by one recovery step, and close the connections that were idle for longer.
 
         Args:
             now: the current time of the event loop, in seconds.
--- a/load_balancer/proxy/upstream/idle_timeout.py
+++ b/load_balancer/proxy/upstream/idle_timeout.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-# Fraction of the idle time after which an endpoint closes a connection.  The margin prevents a request from
-# being sent while the endpoint closes the connection.
+# The idle timeout as a fraction of the idle time after which an endpoint closes a connection.  The margin
+# prevents a request from being sent while the endpoint closes the connection.
 IDLE_TIMEOUT_FRACTION = 0.5
 # Endpoints may close idle connections sooner than they are configured to.  A request that is sent during such
 # a close may have been processed.  After an endpoint has closed an idle connection, or has reset a request
--- a/load_balancer/proxy/upstream/listed_pools.py
+++ b/load_balancer/proxy/upstream/listed_pools.py
@@ -12,7 +12,10 @@
 
 
 class ListedPools:
-    """Keeps one pool for each serving endpoint of the endpoint list, and at most one endpoint per address.
+    """Keeps one pool for each serving endpoint of the endpoint list.
+
+    If several serving endpoints are listed at the same address, only the endpoint that started last has a
+    pool; the other endpoints count as replaced.
 
     Attributes:
         open_connections: all established connections, including those to endpoints that are no longer listed.
@@ -37,7 +40,7 @@
         return iter(self._pools.values())
 
     def get(self, endpoint_id: EndpointId) -> EndpointPool | None:
-        """Return the pool of an endpoint, or None if the endpoint is not listed as serving."""
+        """Return the pool of an endpoint, or None if the endpoint is not serving or has been replaced."""
         return self._pools.get(endpoint_id)
 
     def update(self, listing: EndpointListing) -> list[EndpointId]:
@@ -47,9 +50,9 @@
         because the connections of that pool belong to a process that has ended.
 
         Returns:
-            The ids of the endpoints without a pool whose address now belongs to another endpoint.  A request
-            that is sent to this address for the old endpoint would reach the new process, which is warming
-            up.
+            The ids of the replaced endpoints.  They have no pool, because another endpoint is now listed at
+            their address.  A request that is sent to that address for a replaced endpoint would reach the new
+            process, which is warming up.
         """
         if listing.complete:
             for endpoint_id in self._pools.keys() - {endpoint.id for endpoint in listing.endpoints}:
@@ -84,8 +87,8 @@
         pool.  If both started at the same time, the endpoint of this call keeps its pool.
 
         Returns:
-            The id of the endpoint that has no pool because the other one keeps the address, or None if no
-            other endpoint is listed at the address.
+            The id of the endpoint that has lost the address and has no pool now, or None if no other endpoint
+            had a pool at the address.
         """
         replaced_id: EndpointId | None = None
         previous_id = self._endpoint_at.get(address)
--- a/load_balancer/proxy/upstream/local_errors.py
+++ b/load_balancer/proxy/upstream/local_errors.py
@@ -31,6 +31,6 @@
     """Return the delay before the next connect after a local error: an exponential backoff, in seconds.
 
     Args:
-        earlier_failures: the number of local errors before this one.
+        earlier_failures: the number of earlier local errors of the same request.
     """
     return min(MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * 2.0**earlier_failures)
--- a/load_balancer/proxy/upstream/pools.py
+++ b/load_balancer/proxy/upstream/pools.py
@@ -63,12 +63,13 @@
         """Apply an endpoint list, or a change to it, to the pools.
 
         Returns:
-            The ids of the endpoints without a pool whose address now belongs to another endpoint.
+            The ids of the replaced endpoints.  They have no pool, because another endpoint is now listed at
+            their address.
         """
         return self._listed.update(listing)
 
     def serving_endpoint(self, endpoint_id: EndpointId) -> Endpoint | None:
-        """Return the endpoint's entry in the list, or None if the endpoint is not listed as serving."""
+        """Return the endpoint's entry in the list, or None if it is not serving or has been replaced."""
         pool = self._listed.get(endpoint_id)
         return None if pool is None else pool.endpoint
 
@@ -127,7 +128,10 @@
             connection.abort()
 
     def reap_idle(self) -> None:
-        """Close the connections that have been idle for longer than the idle timeout of their endpoint."""
+        """Close the connections that have been idle for longer than the idle timeout of their endpoint.
+
+        Before that, each idle timeout that was shortened recovers by one step.
+        """
         now = self._loop.time()
         for pool in self._listed:
             pool.reap_idle(now)
--- a/load_balancer/proxy/upstream/request.py
+++ b/load_balancer/proxy/upstream/request.py
@@ -1,8 +1,8 @@
 """A request to an endpoint, from its start to its single outcome.
 
 A request is never sent twice.  If it ends after its bytes were written to a socket, the endpoint may have
-processed it.  ``Outcome.CONNECT_FAILED`` and ``Outcome.NOT_SENT`` are reported only for a request that ended
-before that.
+processed it.  ``Outcome.CONNECT_FAILED`` and ``Outcome.NOT_SENT`` are reported only for a request whose bytes
+were not written.
 """
 
 from __future__ import annotations
--- a/load_balancer/proxy/upstream/waiting_request.py
+++ b/load_balancer/proxy/upstream/waiting_request.py
@@ -22,7 +22,7 @@
     Attributes:
         pool: the pool of the endpoint.
         request: the request that waits.
-        is_finished: whether the wait is finished: the request was written or has ended, or the node closes.
+        is_finished: whether the wait is finished: the request was written or has ended, or the node stops.
         connects: the number of connects that were started in the current connecting phase.
         local_failures: the number of connects for this request that have failed on the node's own machine.
     """
@@ -70,7 +70,10 @@
         self._cancel_timers()
 
     def needs_connection(self) -> bool:
-        """Return whether the request still needs a connection."""
+        """Return whether a connection for the request is still of use.
+
+        It is of no use if the request has ended, its response is no longer wanted, or the pool is retired.
+        """
         return not (self.request.ended or self.pool.retired) and self.request.outbound.is_wanted()
 
     def send_on(self, connection: UpstreamConnection) -> bool:
--- a/tests/proxy/upstream/test_connection.py
+++ b/tests/proxy/upstream/test_connection.py
@@ -136,7 +136,7 @@
             endpoint.release.set()
             await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
         assert await future == (Outcome.OK, b"body")
-        assert not harness.pools.pools[0].has_idle, "a connection that the endpoint closed is not reused"
+        assert not harness.pools.pools[0].has_idle, "a connection that the endpoint closed was kept"
 
 
 @pytest.mark.parametrize("size", [0, 65536])
--- a/tests/proxy/upstream/test_connection_opener.py
+++ b/tests/proxy/upstream/test_connection_opener.py
@@ -120,5 +120,5 @@
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
         failing = FailingConnects(monkeypatch, errno.EADDRNOTAVAIL)
         assert await harness.send(timeout_s=0.3) == (Outcome.NOT_SENT, b"")
-        assert 2 <= failing.failures <= 30, "connects are repeated, with a backoff"
+        assert 2 <= failing.failures <= 30, "the connects were not repeated with a backoff"
         assert not harness.pools.pending_connects
--- a/tests/proxy/upstream/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -55,7 +55,7 @@
     """
     single = _without_nodelay(reply("200 OK", b"answer"))
     doubled = _without_nodelay(reply("200 OK", b"answer"), reply("200 OK", b"surplus"))
-    exchanges = 8  # after a few, the system delays acknowledgements until the next data, or by 40 ms
+    exchanges = 8  # after a few, the system delays acknowledgements until it sends data, or by 40 ms
     behaviours = [*[single] * exchanges, doubled, single]
     async with StubServer(behaviours) as endpoint, upstream(endpoint.address) as harness:
         (pool,) = harness.pools.pools
@@ -100,7 +100,9 @@
         ), "a connection that had been idle for longer than the timeout was used"
         pool.idle_timeout.current_s = configured / 2
         harness.pools.reap_idle()
-        assert configured / 2 < pool.idle_timeout.current_s < configured, "the timeout recovers over time"
+        assert (
+            configured / 2 < pool.idle_timeout.current_s < configured
+        ), "the timeout did not recover gradually"
 
 
 @async_test
--- a/tests/proxy/upstream/test_listed_pools.py
+++ b/tests/proxy/upstream/test_listed_pools.py
@@ -36,7 +36,7 @@
     ):
         harness.update(2, row("b", two.address), reset=False)
         swapped = row("a", two.address, started=5.0), row("b", one.address, started=5.0)
-        assert harness.update(3, *swapped, reset=False) == [], "both endpoints are still listed"
+        assert harness.update(3, *swapped, reset=False) == [], "a listed endpoint was reported as replaced"
         assert (await harness.send(endpoint_id=b"a"))[1] == b"2"
         assert (await harness.send(endpoint_id=b"b"))[1] == b"1"
         harness.update(4, row("a", two.address, "DRAINING"), reset=False)
@@ -45,7 +45,7 @@
 
 
 class _CountedAddress(Address):
-    """An address whose class counts the comparisons of addresses."""
+    """An address that counts how often addresses of this class are compared."""
 
     comparisons = 0
 
