--- a/fault_soak/__main__.py
+++ b/fault_soak/__main__.py
@@ -43,7 +43,7 @@
         parallel: the number of scenarios that run at a time.
         report_path: the file of the report of one seed, or the directory of the reports of several seeds.
         prove: whether to break one guard at a time and check that the fault test detects it.
-        guard: with ``prove``, text that the names of the tested guards contain.
+        guard: with ``prove``, only the guards whose names contain this text are tested.
         log: whether to print the logs of the nodes.
         shrink: whether to remove faults from the schedule as long as a rule is still broken.
     """
@@ -88,7 +88,7 @@
     parser.add_argument("--tree", type=Path, default=ROOT, help="the checkout whose nodes are run")
     parser.add_argument("--parallel", type=int, default=2, help="the number of scenarios that run at a time")
     parser.add_argument("--json", type=Path, help="the report file, or the directory for several seeds")
-    parser.add_argument("--prove", action="store_true", help="check that each guard is detected when broken")
+    parser.add_argument("--prove", action="store_true", help="check that each broken guard is detected")
     parser.add_argument("--guard", default="", help="with --prove: only test guards whose names contain this")
     parser.add_argument("--log", action="store_true", help="print the logs of the nodes")
     parser.add_argument("--shrink", action="store_true", help="remove faults while a rule is still broken")
@@ -119,7 +119,10 @@
 
 
 def _run_all(options: Options) -> list[Report]:
-    """Run the scenario of each seed in a separate process, several at a time, and print a summary."""
+    """Run the scenario of each seed in a separate process, several at a time.
+
+    Print the report of each scenario that ran, and a summary.
+    """
     run_options = RunOptions(options.tree, options.kinds, options.node_count, options.report_path)
 
     def run(seed: int) -> Report:
@@ -161,9 +164,9 @@
 
 
 def _shrink(plan: Plan, tree: Path) -> Plan:
-    """Return a plan without the faults that are not needed to break one of the rules that the plan breaks.
+    """Return a plan with fewer faults that still breaks at least one of the rules that the given plan breaks.
 
-    Try to remove one fault after another, and keep a fault if no such rule is broken without it.
+    Try to remove one fault after another. A fault is kept if none of these rules is broken without it.
     """
     rules = _broken_rules(plan, tree)
     for fault in plan.faults:
--- a/fault_soak/clients/exchange.py
+++ b/fault_soak/clients/exchange.py
@@ -10,7 +10,12 @@
 from fault_soak.history import ClientLeft, History, RequestSent, ResponseMissing, ResponseReceived
 from fault_soak.http import Message, read_message
 
-GIVE_UP_AFTER_S = 0.7  # after the deadline; a request counts as lost 0.5 s after the deadline
+GIVE_UP_AFTER_S = 0.7
+"""The time in seconds after the deadline at which a client stops waiting for a response.
+
+It is longer than 0.5 s, because a request counts as lost 0.5 s after its deadline.
+"""
+
 SLOW_PARTS = 4
 SLOW_INTERVAL_S = 0.05
 
@@ -44,7 +49,7 @@
         *,
         resent: bool = False,
     ) -> None:
-        """Record that the last byte of a request is written now; its first byte was at ``first_byte_at``."""
+        """Record that a request was written from ``first_byte_at`` until now."""
         self.history.add(
             RequestSent(
                 History.now(),
@@ -77,7 +82,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestExchange:
-    """The exchange of one request at a time on a connection, which is kept if the node keeps the connection.
+    """The exchange of one request at a time on a connection.
+
+    After the response, the connection becomes idle unless the node closes the connection.
 
     Attributes:
         behaviour: the current behaviour of the clients.
--- a/fault_soak/clients/faulty.py
+++ b/fault_soak/clients/faulty.py
@@ -40,7 +40,8 @@
 
         Args:
             node: the node to connect to.
-            first: whether the request is the first on its connection; otherwise it follows a complete one.
+            first: whether the request is the first request on its connection; otherwise a complete request
+                is sent before it.
         """
         connection = await connect(node)
         if connection is None:
@@ -103,7 +104,7 @@
         connection.abort()
 
     async def hold_idle_connections(self, node: NodeProcess, count: int, seconds: float) -> None:
-        """Open connections and keep them idle for a time."""
+        """Open connections and keep them idle for the given time."""
         opened = [c for c in [await connect(node) for _ in range(count)] if c is not None]
         await asyncio.sleep(seconds)
         for connection in opened:
@@ -111,7 +112,10 @@
 
 
 def _with_pipelined_deadlines(requests: Sequence[ClientRequest]) -> list[ClientRequest]:
-    """Return the requests, each with the longest deadline up to it, because responses are sent in order."""
+    """Return the requests, each with the longest of its own deadline and the deadlines of earlier requests.
+
+    Responses are sent in order, so a response may have to wait until an earlier request has been served.
+    """
     deadlines_s = itertools.accumulate((request.deadline_s for request in requests), max)
     return [
         replace(request, deadline_s=deadline_s)
--- a/fault_soak/clients/population.py
+++ b/fault_soak/clients/population.py
@@ -1,4 +1,4 @@
-"""The population of clients, of which the ordinary clients send the planned load."""
+"""All clients of a scenario: ordinary clients, which send the planned load, and clients that misbehave."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self.faulty = FaultyClients(self._requests, self._exchange, rng)
 
     async def run(self, seconds: float) -> None:
-        """Send the planned load for a time, then wait for the open requests."""
+        """Send the planned load for the given time, then wait until all clients have ended."""
         until = History.now() + seconds
         while History.now() < until:
             rate = self._plan.requests_per_s * len(self._nodes) * self.behaviour.rate_factor
--- a/fault_soak/clients/requests.py
+++ b/fault_soak/clients/requests.py
@@ -22,7 +22,7 @@
     Attributes:
         request_id: the id of the request.
         class_name: the name of the request class.
-        deadline_s: the time in seconds that the client waits for the response.
+        deadline_s: the time in seconds that the client allows for the response.
         text: the bytes of the request.
     """
 
--- a/fault_soak/discovery.py
+++ b/fault_soak/discovery.py
@@ -20,15 +20,23 @@
 HEARTBEAT_S = 2.0
 
 SILENT_WATCH_NOTIFIED_S = 6.0
-"""The time in seconds until a node that polls or has a silenced watch counts as notified of a change."""
+"""The time in seconds after which a node counts as notified of a change that was not sent to the node.
+
+For a node that polls, the time starts when the agent receives the change. For a node whose watches were
+silenced, the time starts when they were silenced.
+"""
 
 MOVED_NOTIFIED_S = 4.0
-"""The time in seconds after a move of the agent to a new address before any change counts as notified."""
+"""The time in seconds after which a node counts as notified of a change if its agent has moved.
+
+The time starts when the agent moves to a new address. A change that is sent earlier counts as notified when
+it is sent.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of the endpoint list: the row of one server from a generation on."""
+    """A change of the endpoint list: the row that a server has from the given generation on."""
 
     generation: int
     row: EndpointRow
@@ -36,7 +44,7 @@
 
 @dataclass(slots=True)
 class FleetState:
-    """The state of all servers that discovery knows, as all changes so far in their order."""
+    """The state of all servers as known to discovery: all changes so far, in the order of the generations."""
 
     changes: list[Change] = field(default_factory=list)
 
@@ -67,7 +75,7 @@
 
     Attributes:
         node: the name of the node.
-        fleet: the state of the servers that discovery knows.
+        fleet: the state of all servers as known to discovery.
         history: the history in which notifications are recorded.
         rng: the source of the agent's random choices.
         pushed: whether changes are pushed to the node; otherwise the node polls.
@@ -76,7 +84,8 @@
         split_lists: whether the agent sends lists indented and split into two chunks.
         port: the current port of the agent.
         fired: the number of times that faults of the agent took effect.
-        notified_from: the earliest time at which a received change counts as notified, in monotonic seconds.
+        notified_from: the earliest time, in monotonic seconds, at which a change that was received but not
+            sent counts as notified.
     """
 
     node: str
--- a/fault_soak/drawing.py
+++ b/fault_soak/drawing.py
@@ -28,8 +28,8 @@
 MAX_WORK_FRACTION = 0.25  # of the latency objective: longer work could not be completed in time
 EARLIEST_BEGIN_S = 1.0  # no fault begins before this time
 FAULT_LENGTH_S = (0.2, 3.0)  # minimum and maximum
-ADDITIONAL_FAULTS = (5, 11)  # minimum and maximum number of faults besides the forced pair
-LATEST_FORCED_S = SCENARIO_S - 5.0  # the latest beginning of the first fault of the forced pair
+ADDITIONAL_FAULTS = (5, 11)  # minimum and maximum number of faults besides the overlapping pair
+LATEST_FORCED_S = SCENARIO_S - 5.0  # the latest beginning of the first fault of the overlapping pair
 LATEST_FREE_S = SCENARIO_S - 3.0  # the latest beginning that is drawn independently of other faults
 LATEST_BEGIN_S = SCENARIO_S - 2.5  # the latest beginning of any additional fault
 END_MARGIN_S = 0.1  # the shortest time between the end of a fault and the end of the scenario
@@ -46,8 +46,8 @@
 def draw_plan(seed: int, kinds: frozenset[FaultKind] = frozenset(FaultKind)) -> Plan:
     """Draw the plan of a seed with faults of the given kinds.
 
-    Each plan contains a pair of faults that overlap. The kinds of this pair follow from the seed, so that
-    consecutive seeds cover all pairs of kinds.
+    At least two kinds are needed, because each plan contains a pair of overlapping faults of different kinds.
+    The kinds of this pair follow from the seed, so that consecutive seeds cover all pairs of kinds.
     """
     rng = random.Random(seed)
     node_count = rng.choice((3, 4, 5, 6))
--- a/fault_soak/endpoints.py
+++ b/fault_soak/endpoints.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The content of one message of a watch: the endpoint list of a generation, or the changes up to it.
+    """The content of a message of a watch: the endpoint list of a generation, or changes up to a generation.
 
     ``rows`` contains all endpoints if ``complete`` is true, and otherwise only the rows that have changed.
     """
--- a/fault_soak/faults.py
+++ b/fault_soak/faults.py
@@ -71,7 +71,8 @@
         kind: the kind of the fault.
         begin_s: the beginning of the fault, in seconds since the start of the load.
         length_s: the length of the fault in seconds.
-        target: the index of the node or server that the fault affects.
+        target: the index of the node or server that the fault affects; unused if the kind of the fault has no
+            single target.
     """
 
     kind: FaultKind
--- a/fault_soak/history.py
+++ b/fault_soak/history.py
@@ -53,8 +53,8 @@
         incarnation: the number of the node process that accepted the connection.
         class_name: the request class.
         deadline_s: the time in seconds that the client allows for the response.
-        resent: whether the client sent the request before, on a connection that was closed before the node
-            read the request.
+        resent: whether the client sent the request before, on a reused connection that was closed before the
+            first byte of a response.
     """
 
     first_byte_at: float
--- a/fault_soak/injection/clients.py
+++ b/fault_soak/injection/clients.py
@@ -67,7 +67,7 @@
 
 
 async def double_load(environment: Environment, fault: Fault) -> int | None:
-    """Double the rate of requests."""
+    """Double the rate of requests for the length of the fault."""
     behaviour = environment.clients.behaviour
     behaviour.rate_factor *= 2.0
     await asyncio.sleep(fault.length_s)
--- a/fault_soak/injection/discovery.py
+++ b/fault_soak/injection/discovery.py
@@ -22,7 +22,7 @@
 
 
 async def silence_watches(environment: Environment, fault: Fault) -> int | None:
-    """Send nothing more on the watches that are open; return the number of these watches."""
+    """Make the agent send nothing more on the watches that are open; return the number of these watches."""
     agent = environment.agent_of(fault)
     before = agent.fired
     agent.silence_watches()
@@ -30,7 +30,7 @@
 
 
 async def reset_watches(environment: Environment, fault: Fault) -> int | None:
-    """Reset the watches that are open; return the number of these watches."""
+    """Make the agent reset the watches that are open; return the number of these watches."""
     agent = environment.agent_of(fault)
     before = agent.fired
     agent.reset_watches()
@@ -38,9 +38,10 @@
 
 
 async def split_lists(environment: Environment, fault: Fault) -> int | None:
-    """Announce often, and send each list split into two chunks; return the number of lists that were split.
+    """Make the agent send each list split into two chunks, and return the number of lists that were split.
 
-    Most of the announcements contain no change of the server's state.
+    Announce random servers often, so that there are lists to send. Most of the announcements contain no
+    change of the server's state.
     """
     agent = environment.agent_of(fault)
     before = agent.fired
--- a/fault_soak/injection/environment.py
+++ b/fault_soak/injection/environment.py
@@ -15,7 +15,7 @@
 from fault_soak.servers import StubServer
 
 ADDITIONAL_SERVER_PROBABILITY = 0.3
-"""The probability that the misbehaviour of a server also affects another server, for each other server."""
+"""The probability with which the misbehaviour of the target also affects each of the other servers."""
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
         nodes: the nodes.
         agents: the discovery agent of each node.
         servers: the stub servers.
-        fleet: the state of the servers that discovery knows.
+        fleet: the state of all servers as known to discovery.
         clients: the stub clients.
         rng: the source of the random choices of faults.
         busy_nodes: the names of the nodes that a fault is stopping or starting.
--- a/fault_soak/injection/nodes.py
+++ b/fault_soak/injection/nodes.py
@@ -12,39 +12,42 @@
 from fault_soak.servers import Misbehaviour, StubServer
 
 KILL_GRACE_S = 0.7
-"""The time in seconds that is added to the longest deadline to get the time from SIGTERM to SIGKILL."""
+"""The time in seconds after the longest deadline of a request at which a node is sent SIGKILL."""
 
 MAX_KILL_DEADLINE_S = 3.0
-"""The upper limit in seconds of the deadline that determines the time from SIGTERM to SIGKILL."""
+"""The upper limit in seconds of the deadline that ``kill_delay_s`` uses."""
 
-NEW_CONNECTIONS_AFTER_TERM_S = (0.2, 0.4)
-"""The minimum and maximum time in seconds after SIGTERM during which clients open new connections."""
+REQUESTS_AFTER_TERM_S = (0.2, 0.4)
+"""The minimum and maximum time in seconds after SIGTERM during which clients still send new requests."""
 
 PAUSE_S = (0.03, 0.15)
 BETWEEN_PAUSES_S = (0.2, 0.6)
 
 HANG_AT_TERM_PROBABILITY = 0.5
-"""The probability that servers hang during the graceful shutdown of a node."""
+"""The probability that some of the servers hang during the graceful shutdown of a node."""
 
 RESTART_DELAY_S = 0.3
 """The time in seconds between the kill of a node and its restart."""
 
 
 def kill_delay_s(plan: Plan) -> float:
-    """Return the time in seconds from SIGTERM to SIGKILL."""
+    """Return the time in seconds after SIGTERM at which a node that is still running is sent SIGKILL."""
     longest_s = max(request_class.deadline_ms for request_class in plan.settings.classes) / 1000.0
     return min(longest_s, MAX_KILL_DEADLINE_S) + KILL_GRACE_S
 
 
 async def terminate(environment: Environment, fault: Fault) -> int | None:
-    """Send SIGTERM, wait for the graceful shutdown of the node, and start the node again."""
+    """Send SIGTERM, wait for the graceful shutdown of the node, and start the node again.
+
+    If the shutdown takes longer than ``kill_delay_s``, kill the node.
+    """
     node, rng = environment.node_of(fault), environment.rng
     if node.name in environment.busy_nodes or not node.alive or not node.admitted:
         return 0
     environment.busy_nodes.add(node.name)
     hanging = _hang_servers(environment) if rng.random() < HANG_AT_TERM_PROBABILITY else []
     node.signal(signal.SIGTERM)
-    stop_s = rng.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
+    stop_s = rng.uniform(*REQUESTS_AFTER_TERM_S)
     asyncio.get_running_loop().call_later(stop_s, setattr, node, "admitted", False)
     await node.wait_for_exit(kill_delay_s(environment.plan))
     await node.kill()
--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -1,6 +1,7 @@
 """Mutations of the load balancer, each of which breaks one guard of a node in a scratch copy of the source.
 
-They prove that the fault test detects a broken guard.
+A guard is code of the node that keeps a rule of the oracle. The mutations are used to prove that the fault
+test detects a broken guard.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
 
 class MutationError(Exception):
-    """The source text that a mutation replaces does not exist, so that the mutation must be adapted."""
+    """The source text that a mutation replaces does not exist; the mutation must be adapted to the source."""
 
 
 ATTEMPTS = "load_balancer/proxy/attempts.py"
@@ -62,10 +63,10 @@
         REQUEST_HANDLER, "request is not None and not request.guard.may_reject()", "request is None and True"
     ),
 )
-"""The edits that disable the node's last check, which backs up several guards.
+"""The edits that disable the node's last check before it writes an attempt or rejects a request.
 
-A mutation of one of these guards must disable the last check as well, because the last check would hide the
-broken guard.
+This check backs up several guards. A mutation of one of these guards must disable the check as well, because
+the check would hide the broken guard.
 """
 
 MUTATIONS = (
--- a/fault_soak/nodes.py
+++ b/fault_soak/nodes.py
@@ -31,7 +31,7 @@
 from fault_soak.shim import ShimControl
 
 MEMORY_MB = 192
-"""The memory limit of a node in the configuration."""
+"""The memory limit of a node in its configuration file, in megabytes."""
 
 MEASURE_INTERVAL_S = 0.25
 READY_INTERVAL_S = 0.02
@@ -53,11 +53,11 @@
         discovery_address: a function that returns the address of the node's agent.
         cached_list: a function that returns the cached endpoint list for the node's configuration.
         history: the history in which starts, exits, log lines and the use of resources are recorded.
-        shim: the control of failing system calls; None if the machine has no C compiler.
+        shim: the control of the shim in the node; None if the machine has no C compiler.
         library: the path of the shim that the node preloads; None if the machine has no C compiler.
         incarnation: the number of the latest process; the first process has the number 1.
-        admitted: whether clients may open new connections to the node.
-        process: the running or latest process.
+        admitted: whether clients send new requests to the node.
+        process: the latest process, which may have exited; None before the first start.
         log_read_allowed: an event that is set while the fault test reads the node's log.
     """
 
@@ -184,7 +184,7 @@
             try:
                 line = await process.stderr.readline()
             except ValueError:
-                continue  # the line exceeds the limit
+                continue  # skip a line that is longer than the limit of the reader
             if not line:
                 return
             text = line.decode(errors="replace").rstrip()[:MAX_LOG_LINE_CHARACTERS]
--- a/fault_soak/oracle/answers.py
+++ b/fault_soak/oracle/answers.py
@@ -15,7 +15,7 @@
 
 REJECTION_STATUSES = (429, 503)
 MIN_RETRY_AFTER_LIMIT_S = 0.5
-"""The lowest upper limit of Retry-After in seconds, even if the limit in the settings is lower."""
+"""The upper limit of Retry-After in seconds if the limit in the settings is lower than this value."""
 
 RETRY_AFTER_ROUNDING_S = 0.001
 """The number of seconds by which rounding may raise a Retry-After above its limit."""
@@ -24,7 +24,7 @@
 """The time in seconds after SIGTERM during which requests may still arrive at a node."""
 
 BURST_BEFORE_S = 0.1
-"""The time in seconds before the recorded start of a connection burst in which it may use up descriptors."""
+"""The time in seconds before the recorded start of a connection burst in which it may exhaust descriptors."""
 
 BURST_AFTER_S = 1.0
 """The time in seconds after the end of a connection burst in which descriptors may remain exhausted."""
@@ -107,7 +107,8 @@
 def check_rejections(view: HistoryView) -> Iterator[Violation]:
     """Check that a rejected request may safely be retried, and that Retry-After is valid.
 
-    If a server may have executed the request, a rejection is valid only if all servers may safely repeat it.
+    If a server may have executed the request, a rejection is valid only if every server may safely execute
+    the request again.
     """
     for response in view.events_of(ResponseReceived):
         if response.status not in REJECTION_STATUSES:
@@ -119,7 +120,11 @@
         )
         executed = any(view.may_have_executed(attempt) for attempt in view.attempts_of(response.request_id))
         if executed and not repeatable_anywhere:
-            yield Violation(Rule.REJECTED_AFTER_RUN, response.request_id, f"status {response.status}")
+            yield Violation(
+                Rule.REJECTED_AFTER_RUN,
+                response.request_id,
+                f"status {response.status} although a server may have executed the request",
+            )
         yield from _check_retry_after(view, response)
 
 
@@ -128,7 +133,7 @@
     longest_s = limits.max_retry_after_ms / 1000.0
     wait_s = response.retry_after_s
     if limits.retry_after_allowed and wait_s is None:
-        yield Violation(Rule.RETRY_AFTER, response.request_id, "a rejection without Retry-After")
+        yield Violation(Rule.RETRY_AFTER, response.request_id, "the rejection has no Retry-After")
     upper_s = max(longest_s, MIN_RETRY_AFTER_LIMIT_S) + RETRY_AFTER_ROUNDING_S
     if wait_s is not None and not 0.0 < wait_s <= upper_s:
         yield Violation(Rule.RETRY_AFTER, response.request_id, f"Retry-After {wait_s} s, limit {longest_s} s")
--- a/fault_soak/oracle/attempts.py
+++ b/fault_soak/oracle/attempts.py
@@ -14,7 +14,10 @@
 """The time in seconds during which a node may still forward a request after the client has left."""
 
 DEADLINE_ALLOWANCE_S = 0.15
-"""The number of seconds by which a forwarded deadline may exceed the client's remaining time."""
+"""The number of seconds by which a forwarded deadline may exceed the client's remaining time.
+
+The remaining time is computed from the recorded times of the history.
+"""
 
 
 def check_executions(view: HistoryView) -> Iterator[Violation]:
@@ -102,6 +105,6 @@
     rule, forwarded_s = Rule.FORWARDED_DEADLINE, attempt.forwarded_deadline_s
     left_s = sent.at + sent.deadline_s - attempt.at
     if forwarded_s is None or forwarded_s <= 0.0:
-        yield Violation(rule, sent.request_id, f"forwarded {forwarded_s}, {left_s:.3f} s left")
+        yield Violation(rule, sent.request_id, f"forwarded deadline {forwarded_s}, {left_s:.3f} s left")
     elif forwarded_s > left_s + DEADLINE_ALLOWANCE_S + view.pause_allowance_s(attempt) + view.lag_s:
-        yield Violation(rule, sent.request_id, f"forwarded {forwarded_s:.3f} s, {left_s:.3f} s left")
+        yield Violation(rule, sent.request_id, f"forwarded deadline {forwarded_s:.3f} s, {left_s:.3f} s left")
--- a/fault_soak/oracle/logs.py
+++ b/fault_soak/oracle/logs.py
@@ -16,10 +16,10 @@
     r"policy_failed|action_failed|request_failed|request_read_failed|response_deadline_missed|Traceback|invariant_"
 )
 LOCAL_FAULT_EFFECT_S = 0.1
-"""The time in seconds after the end of a node's own fault in which the fault may still cause an ejection."""
+"""The time in seconds after the end of a fault of a node's system calls in which it may cause an ejection."""
 
 SERVER_FAULT_EFFECT_S = 3.0
-"""The time in seconds after the end of a server's fault in which the fault may still cause an ejection."""
+"""The time in seconds after the end of a fault of a server in which it may still cause an ejection."""
 
 
 def check_reported_faults(view: HistoryView) -> Iterator[Violation]:
@@ -30,7 +30,10 @@
 
 
 def check_ejections(view: HistoryView) -> Iterator[Violation]:
-    """Check that no node ejects a server because connects failed on the node's own machine."""
+    """Check that no node ejects a server because connects failed on the node's own machine.
+
+    An ejection that may have been caused by a fault of a server or its network is excused.
+    """
     local_faults = view.fault_spans(FaultKind.SYSCALL_CONNECT, FaultKind.SYSCALL_SOCKET)
     remote_faults = view.fault_spans(*SERVER_KINDS)
     for logged in view.events_of(NodeLogged):
@@ -47,7 +50,7 @@
 
 
 def check_counters(view: HistoryView) -> Iterator[Violation]:
-    """Check that each node process that exited with code 0 counted every attempt that servers received."""
+    """Check that no node process that exited with code 0 counted fewer attempts than servers received."""
     for incarnation, start in view.starts.items():
         exited = view.exits.get(incarnation)
         counted = _last_written_count(view, incarnation)
@@ -55,7 +58,7 @@
             continue
         received = _received_attempts(view, start, exited)
         if received > counted:
-            detail = f"{received} attempts received, {counted} counted"
+            detail = f"servers received {received} attempts, the node counted {counted}"
             yield Violation(Rule.COUNTERS, str(incarnation), detail)
 
 
--- a/fault_soak/oracle/nodes.py
+++ b/fault_soak/oracle/nodes.py
@@ -23,7 +23,7 @@
 """The smallest number of consecutive requests without an attempt that counts as starvation."""
 
 RECOVERY_S = 2.0
-"""The time in seconds after the end of a fault of servers in which a node may still send no attempts."""
+"""The time in seconds after the end of a fault in which a node need not yet send attempts again."""
 
 
 def check_starvation(view: HistoryView) -> Iterator[Violation]:
@@ -57,7 +57,10 @@
 
 
 def _server_fault_overlaps(view: HistoryView, begin: float, end: float) -> bool:
-    """Check whether a fault that affects servers or connections to servers overlaps a time span."""
+    """Check whether a fault that affects servers or connections to servers overlaps a time span.
+
+    The time ``RECOVERY_S`` after the end of a fault counts as a part of the fault.
+    """
     spans = view.fault_spans(
         *SERVER_KINDS,
         FaultKind.SYSCALL_CONNECT,
@@ -82,11 +85,14 @@
     term_times = view.signal_times(incarnation, signal.SIGTERM)
     kill_times = view.signal_times(incarnation, signal.SIGKILL)
     if not term_times and not kill_times:
-        detail = f"exit code {exited.code}, {exited.at - start.at:.3f} s after its start"
+        detail = (
+            f"exit code {exited.code}, {exited.at - start.at:.3f} s after its start, "
+            "without SIGTERM or SIGKILL"
+        )
         yield Violation(Rule.CRASH, str(incarnation), detail)
     exited_after_term = term_times and (not kill_times or exited.at < kill_times[0])
     if exited_after_term and exited.code != 0 and incarnation in view.ready:
-        yield Violation(Rule.EXIT_CODE, str(incarnation), f"exit code {exited.code}")
+        yield Violation(Rule.EXIT_CODE, str(incarnation), f"exit code {exited.code} after SIGTERM")
 
 
 def _check_readiness(
@@ -95,7 +101,7 @@
     ready = view.ready.get(incarnation)
     if ready is None:
         if exited is not None and exited.at - start.at > READY_WITHIN_S:
-            yield Violation(Rule.READINESS, str(incarnation), "not ready")
+            yield Violation(Rule.READINESS, str(incarnation), "the process was not ready before its exit")
     elif ready.at - start.at > READY_WITHIN_S:
         yield Violation(Rule.READINESS, str(incarnation), f"ready after {ready.at - start.at:.1f} s")
 
@@ -105,7 +111,7 @@
     worst: dict[IncarnationId, NodeMeasured] = {}
     for sample in view.events_of(NodeMeasured):
         if sample.memory_kb > MEMORY_MB * 1000:
-            yield Violation(Rule.MEMORY, sample.node, f"{sample.memory_kb} kB")
+            yield Violation(Rule.MEMORY, sample.node, f"{sample.memory_kb} kB of resident memory")
         incarnation = incarnation_of(sample)
         if incarnation not in worst or sample.descriptors > worst[incarnation].descriptors:
             worst[incarnation] = sample
--- a/fault_soak/oracle/servers.py
+++ b/fault_soak/oracle/servers.py
@@ -15,7 +15,7 @@
 """The mean of the random service times of a stub server, as a multiple of the planned service time."""
 
 LARGE_BOUND = 30
-"""The smallest bound around which the number of attempts in a window is about normally distributed."""
+"""From this bound on, the number of attempts in a window is about normally distributed around the bound."""
 
 
 @dataclass(slots=True)
@@ -58,7 +58,10 @@
             after_s = attempt.first_byte_at - since
             late = after_s > grace_s + SOCKET_SLACK_S + view.lag_s
             if late and not _serves_again(states[i + 1 :], attempt.at):
-                detail = f"{node} sent {after_s:.3f} s after generation {state.generation}, grace {grace_s} s"
+                detail = (
+                    f"{node} sent an attempt {after_s:.3f} s after generation {state.generation}, "
+                    f"grace {grace_s} s"
+                )
                 yield Violation(Rule.DRAIN, f"{attempt.server} {attempt.request_id}", detail)
                 break
 
--- a/fault_soak/oracle/violations.py
+++ b/fault_soak/oracle/violations.py
@@ -19,7 +19,7 @@
     """A request was executed more often than its class allows."""
 
     REJECTED_AFTER_RUN = "refused-after-run"
-    """A request was rejected, which marks a retry as safe, after a server may have executed the request."""
+    """A request was rejected, which declares a retry safe, after a server may have executed the request."""
 
     HEDGED = "hedged-where-forbidden"
     """Two attempts of a request were in flight at once although the settings forbid hedged requests."""
@@ -40,7 +40,7 @@
     """A 200 response had the wrong body, or a server received a request id that no client sent."""
 
     RETRY_AFTER = "retry-after"
-    """A rejection had no Retry-After or one outside the limits."""
+    """A rejection had no Retry-After header, or the value of the header was outside the limits."""
 
     SLOW_START = "slow-start"
     """Nodes sent more attempts to a server that was warming up than it can handle."""
--- a/fault_soak/proof.py
+++ b/fault_soak/proof.py
@@ -10,11 +10,11 @@
 
 
 def prove(seeds: Sequence[int], guard: str, parallel: int) -> bool:
-    """Run scenarios with each guard broken until a scenario detects it, and print the results.
+    """For each guard, run scenarios with this guard broken until one detects it, and print the results.
 
     Args:
         seeds: the seeds of the scenarios, tried in this order.
-        guard: text that the names of the tested guards contain; "" to test all guards.
+        guard: only guards whose names contain this text are tested; "" to test all guards.
         parallel: the number of guards that are tested at a time, each with one scenario at a time.
 
     Returns:
@@ -36,5 +36,8 @@
         for count, seed in enumerate(seeds, 1):
             violations = run_in_process(seed, options).violations_of(names)
             if violations:
-                return f"seed {seed}, {count} scenarios, {len(violations)} violations, first: {violations[0]}"
+                return (
+                    f"detected with seed {seed} in scenario {count}, {len(violations)} violations, "
+                    f"first: {violations[0]}"
+                )
     return ""
--- a/fault_soak/proxy.py
+++ b/fault_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy between the nodes and one server that simulates network failures."""
+"""A TCP proxy that simulates network failures between the nodes and one server."""
 
 from __future__ import annotations
 
@@ -48,8 +48,8 @@
 
     Attributes:
         state: the current state of the link.
-        fired: the number of times that the proxy dropped data or reset a connection.
-        port: the port at which the proxy listens, or 0 before ``open`` for a free port.
+        fired: the number of times that the proxy, because of its state, dropped data or reset a connection.
+        port: the port at which the proxy listens; before ``open``, it may be 0 for any free port.
     """
 
     def __init__(self, server_port: int) -> None:
@@ -86,7 +86,7 @@
             task.cancel()
 
     def set_state(self, state: LinkState) -> None:
-        """Change the state of the link; the end of SILENT resets all connections, as they have lost data."""
+        """Change the state of the link; the end of SILENT resets all connections, as data may be lost."""
         previous, self.state = self.state, state
         if previous is LinkState.SILENT:
             for writer in list(self._writers):
@@ -167,7 +167,11 @@
         node_writer: asyncio.StreamWriter,
         reset_state: LinkState,
     ) -> None:
-        """Copy data in one direction until the connection ends, or reset it in the state ``reset_state``."""
+        """Copy data in one direction until the connection ends.
+
+        In the state ``reset_state``, reset the connection to the node instead of writing the data. Data that
+        arrives in the state SILENT is dropped.
+        """
         try:
             while data := await reader.read(READ_BYTES):
                 if self.state is LinkState.SILENT:
--- a/fault_soak/reporting.py
+++ b/fault_soak/reporting.py
@@ -51,7 +51,7 @@
 
 
 def print_summary(reports: Sequence[Report]) -> None:
-    """Print the number of scenarios in which each rule was broken."""
+    """Print the number of scenarios, of overlapping pairs of kinds, and of broken scenarios for each rule."""
     broken: Counter[str] = Counter()
     pairs: set[str] = set()
     for report in reports:
--- a/fault_soak/result.py
+++ b/fault_soak/result.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScenarioResult:
-    """The history of a scenario and the limit of its precision.
+    """The plan and the history of a scenario, and the precision of the times in the history.
 
     Attributes:
         plan: the plan that was run.
--- a/fault_soak/scenario.py
+++ b/fault_soak/scenario.py
@@ -30,7 +30,7 @@
 READY_WITHIN_S = 30.0
 LAG_CHECK_S = 0.01
 LISTEN_PORTS = (12_000, 30_000)
-LOAD_SEED_MASK = 0x5EED  # gives the load and the faults another random sequence than the plan
+LOAD_SEED_MASK = 0x5EED  # the random sequence of load and faults must differ from the sequence of the plan
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
         directory: a temporary directory.
         library: the path of the shim, which makes system calls fail; None if the machine has no C compiler.
         history: the history in which all events are recorded.
-        fleet: the state of the servers that discovery knows.
+        fleet: the state of all servers as known to discovery.
     """
 
     plan: Plan
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -23,7 +23,7 @@
 from fault_soak.http import Message, read_message, render_response
 from fault_soak.proxy import HOST, FaultProxy, LinkState, reset
 
-QUEUE_PER_SLOT = 8
+MAX_REQUESTS_PER_SLOT = 8
 """The number of queued and running requests per slot at which a server rejects further requests."""
 
 NOT_EXECUTED = "X-Not-Run: 1\r\n"
@@ -145,7 +145,7 @@
         self._history = history
         self._rng = random.Random(seed)
         self._slots = asyncio.Semaphore(load.slots)
-        self._waiting = 0
+        self._in_flight = 0
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -154,7 +154,7 @@
         self.started_unix_ms = started_unix_ms
         self.draining = False
         self._slots = asyncio.Semaphore(self._load.slots)
-        self._waiting = 0
+        self._in_flight = 0
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         port = self._server.sockets[0].getsockname()[1]
         address = 0 if self.proxy is None else self.proxy.port
@@ -239,7 +239,7 @@
     async def _respond(
         self, attempt: ServedAttempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        if self.draining or self._waiting >= QUEUE_PER_SLOT * self._load.slots:
+        if self.draining or self._in_flight >= MAX_REQUESTS_PER_SLOT * self._load.slots:
             attempt.end(AttemptResult.REJECTED)
             writer.write(render_response("503 Unavailable", extra=NOT_EXECUTED))
             return True
@@ -254,7 +254,10 @@
         return self._write_response(attempt, writer)
 
     async def _work_unless_closed(self, reader: asyncio.StreamReader) -> bool:
-        """Spend the service time of a request; return False if the connection was closed before the end."""
+        """Wait for a slot and for the service time of a request.
+
+        Return False if the connection was closed, or more input arrived, before the end of the service time.
+        """
         work = asyncio.ensure_future(self._work())
         closed = asyncio.ensure_future(reader.read(1))
         try:
@@ -269,12 +272,12 @@
         return True
 
     async def _work(self) -> None:
-        self._waiting += 1
+        self._in_flight += 1
         try:
             async with self._slots:
                 await asyncio.sleep(self._rng.lognormvariate(0.0, 0.6) * self._load.work_s)
         finally:
-            self._waiting -= 1
+            self._in_flight -= 1
 
     def _write_response(self, attempt: ServedAttempt, writer: asyncio.StreamWriter) -> bool:
         body = served_body(self.name, attempt.request_id)
@@ -287,7 +290,7 @@
         if self.misbehaviour is Misbehaviour.GARBLE and self._rng.random() < GARBLE_PROBABILITY:
             self.fired += 1
             return self._write_malformed_response(body, writer)
-        load_report = json.dumps({"inflight": self._waiting})
+        load_report = json.dumps({"inflight": self._in_flight})
         writer.write(render_response("200 OK", body, f"X-Load: {load_report}\r\n"))
         return True
 
@@ -319,7 +322,7 @@
                 return True
 
     async def _hang(self, reader: asyncio.StreamReader) -> bool:
-        """Wait until the connection ends or more input arrives; return False, so that it is closed."""
+        """Wait until the connection ends or more input arrives; return False to make the caller close it."""
         with contextlib.suppress(ConnectionError):
             await reader.read(1)
         return False
--- a/fault_soak/settings.py
+++ b/fault_soak/settings.py
@@ -14,13 +14,13 @@
     """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "safe"
-    """A repeated execution has no effect, so that the request may be repeated freely."""
+    """A repeated execution has no effect, so the request may be repeated freely."""
 
     KEYED = "keyed"
-    """A repeated execution has no effect while the server remembers the idempotency key of the request."""
+    """A repeated execution has no effect while servers remember the idempotency key of the request."""
 
     NON_IDEMPOTENT = "unsafe"
-    """A repeated execution does harm, so that the request must not be executed twice."""
+    """A repeated execution does harm, so the request must not be executed twice."""
 
 
 class DeduplicationScope(Enum):
@@ -38,7 +38,7 @@
     """Discovery sends each change at once."""
 
     POLLED = "on_request"
-    """Nodes request the changes."""
+    """Nodes poll discovery for changes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,12 +68,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    """The guarantees to servers and clients of the deployment, and the load that servers can handle.
+    """The guarantees that servers and clients of the deployment have, and the load that servers can handle.
 
     Attributes:
         response_slack_ms: the time after the deadline within which a response still counts as in time.
         warm_up_ms: the longest time from the start of a server until it has its full capacity.
-        overload_multiple: the multiple of its present capacity above which a server that is warming up fails.
+        overload_multiple: a server that is warming up fails if its load exceeds this multiple of its present
+            capacity.
         poll_within_ms: the longest time between two polls of the endpoint list.
         overload_window_ms: the time window over which the load of a server that is warming up is measured.
         initial_capacity: the capacity of a server that has just started.
@@ -98,7 +99,7 @@
         idle_timeout_ms: the time for which servers keep an idle connection.
         connect_timeout_ms: the longest time in which a connection may be established.
         max_retry_after_ms: the longest Retry-After that clients respect.
-        hedging_allowed: whether a second attempt may start while the first is in flight.
+        hedging_allowed: whether a second attempt of a request may start while the first attempt is in flight.
         health_checks_allowed: whether a node may send health checks to endpoints.
         retry_after_allowed: whether rejections contain a Retry-After header.
         max_attempts: the largest number of attempts of one request.
@@ -131,7 +132,7 @@
         zones: the names of the zones.
         node_count: the number of nodes of this tier.
         clients_mark_retries: whether clients mark a request that they send again.
-        guarantees: the guarantees to servers and clients.
+        guarantees: the guarantees that servers and clients have.
         tiers: the names of the tiers.
         zone_index: the index of the node's zone in ``zones``.
         machine_types: the machine types of servers.
--- a/fault_soak/shim.c
+++ b/fault_soak/shim.c
@@ -32,8 +32,9 @@
 static struct failure no_failures[FAILURES];
 static struct failure *failures = no_failures;
 
-static uint32_t random_state = 2463534242u; /* of the xorshift generator */
+static uint32_t random_state = 2463534242u; /* the state of the xorshift random number generator */
 
+/* Maps the shared file into memory when the shim is loaded. */
 __attribute__((constructor)) static void map_failures(void) {
     const char *path = getenv("SOAK_SHIM");
     int descriptor = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
@@ -56,7 +57,7 @@
     return 1;
 }
 
-/* Sets errno for the failure and returns the result of a failing system call. */
+/* Sets errno to the error of the failure and returns -1, as a failing system call does. */
 static int fail(int which) {
     errno = failures[which].error;
     return -1;
--- a/fault_soak/shim.py
+++ b/fault_soak/shim.py
@@ -44,7 +44,10 @@
     Failure.PAUSE: (150_000,),
     Failure.CLOCK: (0,),
 }
-"""The possible errors of each failure: values of errno, for PAUSE a time in microseconds, or 0 if unused."""
+"""The possible errors of each failure.
+
+An error is a value of errno, for PAUSE a time in microseconds, and 0 for failures that use no error.
+"""
 
 
 def build_shim(directory: Path) -> Path | None:
--- a/fault_soak/subprocesses.py
+++ b/fault_soak/subprocesses.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """The options of runs of scenarios.
+    """The options with which scenarios are run.
 
     Attributes:
         tree: the checkout whose nodes are run.
@@ -43,7 +43,8 @@
 def run_in_process(seed: int, options: RunOptions) -> Report:
     """Run the scenario of a seed in a separate process and return its report.
 
-    If the process wrote no report, print its error output and return the report of a failed fault test.
+    If the process wrote no report, print the end of its error output, and return a report that says that the
+    fault test itself failed.
     """
     path = options.report_path(seed)
     path.unlink(missing_ok=True)
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -121,9 +121,9 @@
 
 
 def _response(
-    status: int = 200, at: float = 1.2, body: bytes = b"", after: float | None = 0.1
+    status: int = 200, at: float = 1.2, body: bytes = b"", retry_after_s: float | None = 0.1
 ) -> HistoryEvent:
-    return ResponseReceived(at, "r", status, body, after)
+    return ResponseReceived(at, "r", status, body, retry_after_s)
 
 
 def test_served_request_breaks_no_rule() -> None:
@@ -141,7 +141,7 @@
             [_sent(), ResponseMissing(1.1, "r", True, True)],
             [_sent(), _received(1.05), ResponseMissing(1.1, "r", True, True)],
             Rule.LOST,
-            id="closed unread is excused without an attempt only",
+            id="closed unread is excused only without an attempt",
         ),
         pytest.param(
             [_sent(), ResponseMissing(1.1, "r", True, True)],
@@ -205,13 +205,13 @@
         ),
         pytest.param(
             [_sent(), _response(503)],
-            [_sent(), _response(503, after=None)],
+            [_sent(), _response(503, retry_after_s=None)],
             Rule.RETRY_AFTER,
             id="no Retry-After",
         ),
         pytest.param(
             [_sent(), _response(503)],
-            [_sent(), _response(503, after=9.0)],
+            [_sent(), _response(503, retry_after_s=9.0)],
             Rule.RETRY_AFTER,
             id="too long Retry-After",
         ),
--- a/tests/fault_soak/test_plan.py
+++ b/tests/fault_soak/test_plan.py
@@ -1,4 +1,4 @@
-"""Tests that plans depend on their seeds alone, and that consecutive seeds cover all pairs of kinds."""
+"""Tests that plans depend on their seeds alone, and that consecutive seeds cover all pairs of fault kinds."""
 
 from __future__ import annotations
 
