--- a/load_balancer/simulator/__init__.py
+++ b/load_balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire and the adapter that hosts policy instances on it."""
+"""The simulator's wire protocol, and the adapter that runs policy instances behind it."""
--- a/load_balancer/simulator/adapter.py
+++ b/load_balancer/simulator/adapter.py
@@ -1,9 +1,9 @@
-"""Hosts independent policy instances on the simulator's wire: batches on standard input, replies on output.
+"""Run independent policy instances for the simulator: read batches on stdin, write replies on stdout.
 
     python -m load_balancer.simulator.adapter
 
-The command ends with exit code 0 at the end of its input, with 2 and one line on standard error for input
-that cannot be read, and with 1 where nobody reads its output any more.
+The command exits with code 0 at the end of its input, with code 2 and one line on standard error if the input
+is malformed, and with code 1 if its output has been closed by the reader.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 
 
 class InstanceHost:
-    """The policy instances of one process, which share the decoder and no state of their own."""
+    """The policy instances of one process; they share the record decoder but no policy state."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         self._instances: dict[int, Balancer] = {}
 
-    def answer(self, batch: Batch) -> bytes:
-        """The reply frame to one batch.
+    def handle_batch(self, batch: Batch) -> bytes:
+        """Apply the events of one batch and return the encoded reply frame with the resulting actions.
 
         Raises:
-            WireError: a record cannot be read, or is for an instance that has not started.
+            WireError: a record cannot be decoded, or names an instance that has not been started.
         """
         replies: list[bytes] = []
         for code, fields in split_records(batch):
@@ -49,7 +49,7 @@
             actions = self._apply(instance_id, event, now_ms)
         except WireError:
             raise
-        except Exception as error:  # reported on the wire, so that the other instances go on
+        except Exception as error:  # report the error in the reply, so that the other instances continue
             return [encode_fault(instance_id, f"{type(error).__name__}: {error}")]
         return [encode_action(instance_id, action) for action in actions]
 
@@ -62,24 +62,27 @@
             return ()
         instance = self._instances.get(instance_id)
         if instance is None:
-            raise WireError(f"instance {instance_id}", "an event came for it before its start")
+            raise WireError(f"instance {instance_id}", "an event came before the instance's start record")
         return instance.handle(event, now_ms)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; each reply is flushed, as the next batch waits for it.
+    """Handle batches from the source until it ends, and write one reply frame for each to the sink.
+
+    Each reply is flushed at once, because the simulator sends the next batch only after it has read
+    the reply.
 
     Raises:
-        WireError: the input cannot be read.
+        WireError: the input is malformed.
     """
     host = InstanceHost()
     while (batch := read_batch(source)) is not None:
-        sink.write(host.answer(batch))
+        sink.write(host.handle_batch(batch))
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input and output; the exit code."""
+    """Serve batches on standard input and output, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -1,9 +1,9 @@
-"""Frames, record headers and record codes of the simulator's wire.
+"""Frames, record headers and record codes of the simulator's wire protocol.
 
-A batch frame carries events to the adapter and a reply frame carries its actions back.  Both are a header
-followed by records; a record is a code, the length of its fields and the fields.  All numbers are
-little-endian and unpadded.  The fields of events are read in ``decoding`` and those of actions are written in
-``encoding``.
+A batch frame carries events to the adapter, and a reply frame carries actions back to the simulator.  Each
+frame is a header followed by records; a record is a code, the length of its fields in bytes, and the fields.
+All numbers are little-endian and unpadded.  ``decoding`` reads the fields of event records and ``encoding``
+writes the fields of action records.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from typing import BinaryIO
 
 BATCH_HEADER = struct.Struct("<IdI")
-"""Length of the body in bytes, the clock in milliseconds, the number of records."""
+"""The header of a batch frame: body length in bytes, clock in milliseconds, number of records."""
 
 REPLY_HEADER = struct.Struct("<II")
-"""The number of records, length of the body in bytes."""
+"""The header of a reply frame: number of records, body length in bytes."""
 
 RECORD_HEADER = struct.Struct("<BI")
-"""The record's code, length of its fields in bytes."""
+"""The header of a record: record code, length of the fields in bytes."""
 
 
 class EventCode(IntEnum):
-    """The codes of received records; the comment is the documented name on the wire."""
+    """The codes of event records; the comment at each code is its documented name in the protocol."""
 
     INSTANCE_STARTED = 1  # enlist
     ENDPOINT_LIST_UPDATE = 2  # sync
@@ -41,7 +41,7 @@
 
 
 class ActionCode(IntEnum):
-    """The codes of sent records; the comment is the documented name on the wire."""
+    """The codes of action records; the comment at each code is its documented name in the protocol."""
 
     SEND_ATTEMPT = 65  # forward
     REJECT_REQUEST = 66  # refuse
@@ -56,11 +56,11 @@
 
 
 class WireError(Exception):
-    """The input cannot be read or names something unknown.
+    """The input is malformed, holds invalid settings, or refers to an unknown code, table or instance.
 
     Attributes:
-        location: the part of the input at fault, such as a record with its code.
-        problem: what is wrong with it.
+        location: the part of the input that has the error, such as "batch header", or "record 5" for code 5.
+        problem: a description of what is wrong with that part.
     """
 
     def __init__(self, location: str, problem: str) -> None:
@@ -74,9 +74,9 @@
     """The content of one batch frame.
 
     Attributes:
-        now_ms: the clock at which all of its events happen, in milliseconds.
+        now_ms: the time at which all events of the batch happen, in milliseconds on the simulator's clock.
         record_count: the number of records in the body.
-        body: the records, headers included.
+        body: the encoded records, including their headers.
     """
 
     now_ms: float
@@ -85,7 +85,7 @@
 
 
 def read_batch(source: BinaryIO) -> Batch | None:
-    """The next batch, or None at the end of the input.
+    """Read the next batch, or return None at the end of the input.
 
     Raises:
         WireError: the input ends inside a frame.
@@ -94,49 +94,52 @@
     if not header:
         return None
     if len(header) < BATCH_HEADER.size:
-        raise WireError("batch header", "the input ends inside it")
+        raise WireError("batch header", "the input ends inside the header")
     body_length, now_ms, record_count = BATCH_HEADER.unpack(header)
     body = _read_up_to(source, body_length)
     if len(body) < body_length:
-        raise WireError("batch body", "the input ends inside it")
+        raise WireError("batch body", "the input ends inside the body")
     return Batch(now_ms, record_count, body)
 
 
 def split_records(batch: Batch) -> Iterator[tuple[int, bytes]]:
-    """The code and the fields of each record of a batch, in order and one at a time.
+    """Yield the code and the fields of each record of a batch, in order.
 
     Raises:
-        WireError: the lengths or the number of the records do not fit the body.
+        WireError: the body is shorter or longer than its records.
     """
     body = batch.body
     position = 0
     for _ in range(batch.record_count):
         fields_start = position + RECORD_HEADER.size
         if fields_start > len(body):
-            raise WireError("batch body", "it ends before its last record")
+            raise WireError("batch body", "the body ends before its last record")
         code, length = RECORD_HEADER.unpack_from(body, position)
         position = fields_start + length
         if position > len(body):
-            raise WireError(f"record {code}", "it is cut short")
+            raise WireError(f"record {code}", "the record is cut short by the end of the batch body")
         yield code, body[fields_start:position]
     if position != len(body):
-        raise WireError("batch body", "it holds more bytes than its records")
+        raise WireError("batch body", "the body holds more bytes than its records")
 
 
 def encode_reply(records: Sequence[bytes]) -> bytes:
-    """The reply frame that carries these encoded records."""
+    """Return the reply frame that carries these encoded records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), len(body)) + body
 
 
 def _read_up_to(source: BinaryIO, size: int) -> bytes:
-    """Bytes of this size, fewer only at the end of the input; one read from a pipe may return fewer."""
+    """Read exactly ``size`` bytes, or fewer if the input ends first.
+
+    A single read from a pipe may return fewer bytes than requested, so reading is repeated.
+    """
     parts: list[bytes] = []
-    missing = size
-    while missing:
-        part = source.read(missing)
+    remaining = size
+    while remaining:
+        part = source.read(remaining)
         if not part:
             break
         parts.append(part)
-        missing -= len(part)
+        remaining -= len(part)
     return b"".join(parts)
--- a/load_balancer/simulator/decoding.py
+++ b/load_balancer/simulator/decoding.py
@@ -1,6 +1,6 @@
-"""Decodes the event records of the simulator's wire into the policy's own types.
+"""Decode the event records of the simulator's wire protocol into the event types of the policy.
 
-Each record code has one decoder function.  Nothing is decided here.
+Each record code has one decoder function.  This module makes no load-balancing decisions.
 """
 
 from __future__ import annotations
@@ -30,9 +30,10 @@
 from load_balancer.simulator.codec import EventCode, WireError
 
 TABLE_COUNT = 16
-"""Endpoint tables are numbered from 0 to one less than this."""
+"""The number of endpoint tables; tables are numbered from 0 to ``TABLE_COUNT - 1``."""
 
-# The fields of each record; where a number of bytes or floats comes last, they follow it.
+# The fixed-size fields of each record.  Where the last field is a count of bytes, rows or floats, that many
+# of them follow the fixed-size fields.
 _INSTANCE_STARTED = struct.Struct("<IQI")
 _ENDPOINT_LIST_UPDATE = struct.Struct("<IIIB")
 _REQUEST_ARRIVED = struct.Struct("<IIHHQddH")
@@ -46,7 +47,7 @@
 _ENDPOINT_TABLE = struct.Struct("<II")
 _ENDPOINT_ROW = struct.Struct("<fH6sBHBd")
 
-# The bits of an arrival's flags.
+# The bits of the flags field of a REQUEST_ARRIVED record.
 _COST_HINT_VALID = 1
 _CLIENT_RETRY = 2
 _WRITE = 4
@@ -65,7 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance starts with its settings and the seed of its random numbers, and no other state."""
+    """An instance starts without earlier state.
+
+    Attributes:
+        seed: the seed of the instance's random number generator.
+        settings: the settings of the instance's policy.
+    """
 
     seed: int
     settings: Settings
@@ -73,20 +79,23 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceKilled:
-    """An instance was killed and loses its state; it may start again."""
+    """An instance was killed and lost its state; a later record may start the instance again."""
 
 
 InstanceEvent: TypeAlias = Event | InstanceStarted | InstanceKilled
 
 Record: TypeAlias = tuple[int, InstanceEvent]
-"""The instance that a record is for, and its event; a plain pair, as one is built for every record."""
+"""The id of the instance that a record is for, and the event.
+
+This is a plain tuple rather than a class to keep the cost low, because one is built for every record.
+"""
 
 
 def parse_settings(text: str) -> Settings:
-    """Settings from the wire's path=value lines; a line without an equals sign is ignored.
+    """Parse settings from lines of the form ``path=value``; lines without an equals sign are ignored.
 
     Raises:
-        WireError: a setting is missing or unusable; the problem names its path.
+        WireError: a setting is missing or invalid; the error's ``problem`` names the path of the setting.
     """
     values: dict[str, str] = {}
     for line in text.splitlines():
@@ -100,10 +109,11 @@
 
 
 class Decoder:
-    """Decodes records in the order of the wire.
+    """A decoder that is given all records of the input, in the order in which they were received.
 
-    It keeps the numbered endpoint tables, which all instances of the process share.  A table is sent once for
-    the many endpoint list updates that refer to it, and its number may be reused within a batch.
+    It stores the numbered endpoint tables, which all instances of the process share.  A table is sent once
+    for the many endpoint list updates that refer to it.  A table number may be reused within a batch, so the
+    order of the records matters.
     """
 
     def __init__(self) -> None:
@@ -115,18 +125,18 @@
         }
 
     def decode(self, code: int, fields: bytes) -> Record | None:
-        """The record of these fields, or None for an endpoint table, which is for no single instance.
+        """Decode one record, or store an endpoint table and return None, as a table belongs to no instance.
 
         Raises:
-            WireError: the code is unknown, or the fields cannot be read.
+            WireError: the code is unknown, or the fields are malformed.
         """
         decoder = self._decoders.get(code)
         if decoder is None:
-            raise WireError(f"record {code}", "its code is unknown")
+            raise WireError(f"record {code}", "the record code is unknown")
         try:
             return decoder(fields)
         except (struct.error, ValueError, KeyError) as error:
-            raise WireError(f"record {code}", f"it cannot be read: {error}") from error
+            raise WireError(f"record {code}", f"the fields cannot be read: {error}") from error
 
     def _store_table(self, fields: bytes) -> None:
         number, row_count = _ENDPOINT_TABLE.unpack_from(fields)
@@ -134,13 +144,13 @@
             raise ValueError(f"table number {number} is out of range")
         rows_end = _ENDPOINT_TABLE.size + row_count * _ENDPOINT_ROW.size
         if len(fields) < rows_end:
-            raise ValueError("a table is shorter than its number of rows")
+            raise ValueError("the endpoint table is shorter than its number of rows requires")
         self._tables[number] = _decode_rows(fields[_ENDPOINT_TABLE.size : rows_end])
 
     def _decode_endpoint_list_update(self, fields: bytes) -> Record:
         instance_id, version, table_number, kind_number = _ENDPOINT_LIST_UPDATE.unpack_from(fields)
         kind = EndpointListKind(kind_number)
-        # The table number has no meaning where there is no list.
+        # The update of a failed poll carries no endpoint list, so its table number has no meaning.
         endpoints = () if kind is EndpointListKind.FAILED else self._tables[table_number]
         return instance_id, EndpointListUpdate(kind, endpoints, version)
 
@@ -156,7 +166,7 @@
 
 def _decode_instance_started(fields: bytes) -> Record:
     instance_id, seed, length = _INSTANCE_STARTED.unpack_from(fields)
-    text = _counted_bytes(fields, _INSTANCE_STARTED.size, length)
+    text = _read_bytes(fields, _INSTANCE_STARTED.size, length)
     return instance_id, InstanceStarted(seed, parse_settings(text.decode()))
 
 
@@ -193,7 +203,7 @@
         _OUTCOMES_BY_STATUS[status],
         elapsed_ms,
         bool(finished),
-        _load_report(fields, _ATTEMPT_ENDED.size, value_count),
+        _decode_load_report(fields, _ATTEMPT_ENDED.size, value_count),
     )
     return instance_id, event
 
@@ -210,14 +220,14 @@
 
 def _decode_health_check_ended(fields: bytes) -> Record:
     instance_id, endpoint_id, status, elapsed_ms, value_count = _HEALTH_CHECK_ENDED.unpack_from(fields)
-    load_report = _load_report(fields, _HEALTH_CHECK_ENDED.size, value_count)
+    load_report = _decode_load_report(fields, _HEALTH_CHECK_ENDED.size, value_count)
     event = HealthCheckEnded(endpoint_id, _OUTCOMES_BY_STATUS[status], elapsed_ms, load_report)
     return instance_id, event
 
 
 def _decode_peer_message(fields: bytes) -> Record:
     instance_id, sender, length = _PEER_MESSAGE.unpack_from(fields)
-    return instance_id, PeerMessage(sender, _counted_bytes(fields, _PEER_MESSAGE.size, length))
+    return instance_id, PeerMessage(sender, _read_bytes(fields, _PEER_MESSAGE.size, length))
 
 
 def _decode_instance_killed(fields: bytes) -> Record:
@@ -225,18 +235,22 @@
     return instance_id, InstanceKilled()
 
 
-def _load_report(fields: bytes, start: int, value_count: int) -> tuple[float, ...]:
-    """The load report at this position; most records carry none."""
+def _decode_load_report(fields: bytes, start: int, value_count: int) -> tuple[float, ...]:
+    """Decode the load report at this position; it is empty in most records."""
     if not value_count:
         return ()
     values: tuple[float, ...] = struct.unpack_from(f"<{value_count}f", fields, start)
     return values
 
 
-def _counted_bytes(fields: bytes, start: int, length: int) -> bytes:
-    """Bytes of this length at this position; ValueError where the record ends before them."""
+def _read_bytes(fields: bytes, start: int, length: int) -> bytes:
+    """Return ``length`` bytes from this position.
+
+    Raises:
+        ValueError: the record ends before these bytes do.
+    """
     if len(fields) < start + length:
-        raise ValueError("its content is cut short")
+        raise ValueError("the variable-length field at the end of the record is cut short")
     return fields[start : start + length]
 
 
--- a/load_balancer/simulator/encoding.py
+++ b/load_balancer/simulator/encoding.py
@@ -1,4 +1,7 @@
-"""Encodes the policy's actions as records of the simulator's wire; each action has one encoder function."""
+"""Encode the policy's actions as records of the simulator's wire protocol.
+
+Each action type has one encoder function.
+"""
 
 from __future__ import annotations
 
@@ -22,35 +25,35 @@
 from load_balancer.simulator.codec import RECORD_HEADER, ActionCode
 
 MAX_TEXT_BYTES = 1000
-"""Longer texts are cut, as log lines are read by people."""
+"""The maximum size of a text in bytes; longer texts are truncated, because people read them as log lines."""
 
 _SUBSCRIBE = 1
 _TEXT = struct.Struct("<BIIH")
 
 
-def _packer(code: ActionCode, layout: str) -> Callable[..., bytes]:
-    """Packs the instance and the fields in this layout after the record's header."""
+def _make_packer(code: ActionCode, layout: str) -> Callable[..., bytes]:
+    """Return a function that packs the record header, the instance id and the fields in this layout."""
     record = struct.Struct("<BII" + layout)
     return partial(record.pack, int(code), record.size - RECORD_HEADER.size)
 
 
-_pack_send_attempt = _packer(ActionCode.SEND_ATTEMPT, "I6sd")
-_pack_reject_request = _packer(ActionCode.REJECT_REQUEST, "Id")
-_pack_fail_request = _packer(ActionCode.FAIL_REQUEST, "I")
-_pack_cancel_attempt = _packer(ActionCode.CANCEL_ATTEMPT, "IH")
-_pack_set_timer = _packer(ActionCode.SET_TIMER, "Qd")
-_pack_check_health = _packer(ActionCode.CHECK_HEALTH, "6s")
-_pack_close_idle_connections = _packer(ActionCode.CLOSE_IDLE_CONNECTIONS, "6s")
-_pack_poll_endpoint_list = _packer(ActionCode.POLL_ENDPOINT_LIST, "B")
+_pack_send_attempt = _make_packer(ActionCode.SEND_ATTEMPT, "I6sd")
+_pack_reject_request = _make_packer(ActionCode.REJECT_REQUEST, "Id")
+_pack_fail_request = _make_packer(ActionCode.FAIL_REQUEST, "I")
+_pack_cancel_attempt = _make_packer(ActionCode.CANCEL_ATTEMPT, "IH")
+_pack_set_timer = _make_packer(ActionCode.SET_TIMER, "Qd")
+_pack_check_health = _make_packer(ActionCode.CHECK_HEALTH, "6s")
+_pack_close_idle_connections = _make_packer(ActionCode.CLOSE_IDLE_CONNECTIONS, "6s")
+_pack_poll_endpoint_list = _make_packer(ActionCode.POLL_ENDPOINT_LIST, "B")
 
 
 def encode_action(instance_id: int, action: Action) -> bytes:
-    """One action of one instance as a record."""
+    """Encode one action of an instance as a record."""
     return _ENCODERS[type(action)](instance_id, action)
 
 
 def encode_fault(instance_id: int, text: str) -> bytes:
-    """The record that reports an unexpected exception in an instance's policy."""
+    """Encode the record that reports an unexpected exception in the policy of an instance."""
     return _encode_text(ActionCode.INSTANCE_FAULT, instance_id, text)
 
 
@@ -96,7 +99,8 @@
     return _TEXT.pack(code, length, instance_id, len(content)) + content
 
 
-# The second parameter of an encoder is the action type that it stands beside, which a mapping cannot express.
+# The second parameter of each encoder has the action type of its key.  The type of a mapping cannot express
+# this relation, so the parameter is typed as Any.
 _ENCODERS: Mapping[type[Action], Callable[[int, Any], bytes]] = {
     SendAttempt: _encode_send_attempt,
     RejectRequest: _encode_reject_request,
