--- a/load_balancer/simulator/decoding.py
+++ b/load_balancer/simulator/decoding.py
@@ -150,7 +150,7 @@
     def _decode_endpoint_list_update(self, fields: bytes) -> Record:
         instance_id, version, table_number, kind_number = _ENDPOINT_LIST_UPDATE.unpack_from(fields)
         kind = EndpointListKind(kind_number)
-        # The update of a failed poll carries no endpoint list, so its table number has no meaning.
+        # An update of kind FAILED carries no endpoint list, so its table number has no meaning.
         endpoints = () if kind is EndpointListKind.FAILED else self._tables[table_number]
         return instance_id, EndpointListUpdate(kind, endpoints, version)
 
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Commands for developers: recorded streams and measurements."""
+"""Commands for developers: replay and compare recorded adapter streams, and measure decision costs."""
--- a/tools/adapter_protocol.py
+++ b/tools/adapter_protocol.py
@@ -1,6 +1,6 @@
-"""The adapter's command and the frames of its wire, for tools that check the adapter from outside.
+"""The adapter's command and the frames of its wire protocol, for tools that test the adapter as a process.
 
-Nothing here uses the package's codec.  All numbers are little-endian and unpadded.
+This module is independent of ``load_balancer.simulator.codec``.  All numbers are little-endian and unpadded.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-BATCH_HEADER = struct.Struct("<IdI")  # length of the body in bytes, the clock in milliseconds, record count
-REPLY_HEADER = struct.Struct("<II")  # record count, length of the body in bytes
-RECORD_HEADER = struct.Struct("<BI")  # code, length of the fields in bytes
+BATCH_HEADER = struct.Struct("<IdI")  # body length in bytes, clock in milliseconds, number of records
+REPLY_HEADER = struct.Struct("<II")  # number of records, body length in bytes
+RECORD_HEADER = struct.Struct("<BI")  # record code, length of the fields in bytes
 
 
 class EventCode(IntEnum):
-    """The codes of the events in the recorded stream; the comment is the documented name on the wire."""
+    """The codes of the events in the recorded stream; each comment is the documented protocol name."""
 
     INSTANCE_STARTED = 1  # enlist
     ENDPOINT_LIST_UPDATE = 2  # sync
@@ -32,7 +32,7 @@
 
 
 class ActionCode(IntEnum):
-    """The codes of the actions that the tools look at; the comment is the documented name on the wire."""
+    """The codes of the actions that the tools inspect; each comment is the documented protocol name."""
 
     SEND_ATTEMPT = 65  # forward
     REJECT_REQUEST = 66  # refuse
@@ -42,7 +42,7 @@
 
 
 class ReplyError(Exception):
-    """A reply frame whose header does not fit its bytes."""
+    """A reply frame is incomplete, or its header does not match its records."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,8 +50,8 @@
     """One record of a reply.
 
     Attributes:
-        code: what the action is.
-        fields: its fields, the number of its instance first.
+        code: the action code of the record.
+        fields: the encoded fields of the action, which begin with the instance id.
     """
 
     code: int
@@ -66,16 +66,16 @@
 
 
 def adapter_command() -> str:
-    """The shell command that deploy/balancer.toml names for the adapter."""
+    """Return the shell command that starts the adapter, from deploy/balancer.toml."""
     command: str = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
     return command
 
 
 def read_replies(output: bytes) -> Iterator[Reply]:
-    """The reply frames of an adapter's output.
+    """Yield the decoded reply frames of an adapter's output, in order.
 
     Raises:
-        ReplyError: the bytes end inside a frame, or a frame's header does not fit its records.
+        ReplyError: the output ends inside a frame, or a frame's header does not match its records.
     """
     position = 0
     while position < len(output):
@@ -102,10 +102,10 @@
     for _ in range(count):
         fields_start = position + RECORD_HEADER.size
         if fields_start > end:
-            raise ReplyError("a reply's length does not fit its records")
+            raise ReplyError("the body length of a reply does not match its records")
         code, length = RECORD_HEADER.unpack_from(output, position)
         position = fields_start + length
         actions.append(ActionRecord(code, output[fields_start:position]))
     if position != end:
-        raise ReplyError("a reply's length does not fit its records")
+        raise ReplyError("the body length of a reply does not match its records")
     return Reply(tuple(actions))
--- a/tools/compare_stream.py
+++ b/tools/compare_stream.py
@@ -1,9 +1,10 @@
-"""Plays streams recorded by the simulator's tap through the adapter and compares the replies byte for byte.
+"""Replay streams that the simulator recorded through the adapter, and compare the replies byte for byte.
 
-    python -m tools.compare_stream FILE...    from the root of the repository
+    python -m tools.compare_stream FILE...    run from the root of the repository
 
-A tap has two lines for each frame: a heading (direction, process, size) and the bytes in hexadecimal.  The
-texts of log actions may differ; every other byte of every reply has to be the same.  Prints the processor
+The simulator records the frames between itself and the adapter processes in a tap file.  A tap file has two
+lines for each frame: a heading (direction, process, size) and the bytes in hexadecimal.  Log actions are left
+out of the comparison; every other byte of every reply must be the same.  The command prints the processor
 time of the adapter for each stream, so that two revisions can be compared on one machine.
 """
 
@@ -27,27 +28,27 @@
     read_replies,
 )
 
-WRITTEN_TO_ADAPTER = ">>"
+BATCH_DIRECTION = ">>"
 
 
 @dataclass(frozen=True, slots=True)
 class TapFrame:
-    """One frame of a tap.
+    """One frame of a tap file.
 
     Attributes:
-        written: whether the frame is a batch that was written to the adapter, not a reply.
-        process: the number of the adapter process.
+        is_batch: whether the frame is a batch that was sent to the adapter, rather than a reply.
+        process: the number of the adapter process that received or sent the frame.
         content: the bytes of the frame.
     """
 
-    written: bool
+    is_batch: bool
     process: int
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """One batch that was written to an adapter process, and the process's reply."""
+    """One batch that was sent to an adapter process, and the reply of the process."""
 
     process: int
     batch: bytes
@@ -55,32 +56,35 @@
 
 
 class StreamMismatchError(Exception):
-    """A reply that is missing or differs from the recorded one; the text names the batch."""
+    """A reply is missing or differs from the recorded reply."""
 
 
 def read_frames(path: Path) -> Iterator[TapFrame]:
-    """The complete frames of a tap; a tap that reached its size limit ends inside one, which is left out."""
+    """Yield the complete frames of a tap file.
+
+    A tap file that reached its size limit ends inside a frame; this last, incomplete frame is left out.
+    """
     with path.open("rb") as tap:
         for heading in tap:
             direction, _, process, *_ = heading.decode().replace(",", "").split()
             line = tap.readline()
             if not line.endswith(b"\n"):
                 return
-            yield TapFrame(direction == WRITTEN_TO_ADAPTER, int(process), bytes.fromhex(line.decode()))
+            yield TapFrame(direction == BATCH_DIRECTION, int(process), bytes.fromhex(line.decode()))
 
 
 def read_exchanges(path: Path) -> Iterator[Exchange]:
-    """The batches of a tap that have a reply, in the order of the replies."""
+    """Yield each batch of a tap file that has a reply, with this reply, in the order of the replies."""
     batches: dict[int, bytes] = {}
     for frame in read_frames(path):
-        if frame.written:
+        if frame.is_batch:
             batches[frame.process] = frame.content
         else:
             yield Exchange(frame.process, batches.pop(frame.process), frame.content)
 
 
 def exchanges_by_process(path: Path) -> dict[int, list[Exchange]]:
-    """The exchanges of each adapter process of a tap, in order."""
+    """Return the exchanges of a tap file in order, grouped by the number of the adapter process."""
     by_process: dict[int, list[Exchange]] = {}
     for exchange in read_exchanges(path):
         by_process.setdefault(exchange.process, []).append(exchange)
@@ -88,19 +92,19 @@
 
 
 def comparable_actions(frame: bytes) -> list[ActionRecord]:
-    """The actions of one reply frame in order, without log actions.
+    """Return the actions of one reply frame in order, without log actions.
 
     Raises:
         ReplyError: the bytes are not exactly one reply frame.
     """
     replies = list(read_replies(frame))
     if len(replies) != 1:
-        raise ReplyError("a reply's length does not fit its header")
+        raise ReplyError("the bytes of a reply are not exactly one frame")
     return [action for action in replies[0].actions if action.code != ActionCode.LOG_EVENT]
 
 
 class Adapter:
-    """A running adapter process; a context manager."""
+    """A running adapter process, used as a context manager that closes its input and waits for it to exit."""
 
     def __init__(self, command: str) -> None:
         self._process = subprocess.Popen(
@@ -115,20 +119,29 @@
         self._process.stdin.close()
         self._process.wait()
 
-    def answer(self, batch: bytes) -> bytes:
-        """The adapter's reply frame to one batch."""
+    def send_batch(self, batch: bytes) -> bytes:
+        """Send one batch to the adapter and return its reply frame.
+
+        Raises:
+            StreamMismatchError: the adapter exited before it sent the header of its reply.
+        """
         assert self._process.stdin is not None and self._process.stdout is not None
         self._process.stdin.write(batch)
         self._process.stdin.flush()
         header = self._process.stdout.read(REPLY_HEADER.size)
         if len(header) < REPLY_HEADER.size:
-            raise StreamMismatchError("the adapter ended before its reply")
+            raise StreamMismatchError("the adapter exited before it sent the header of its reply")
         _, size = REPLY_HEADER.unpack(header)
         return header + self._process.stdout.read(size)
 
 
-def compare_tap(path: Path, command: str) -> int:
-    """Play the batches of every process of one tap; the number of replies that were compared."""
+def compare_tap_file(path: Path, command: str) -> int:
+    """Compare the replies of every process of one tap file, and return the number of compared replies.
+
+    Raises:
+        StreamMismatchError: a reply differs or is missing.
+        ReplyError: the bytes of a reply are not exactly one frame.
+    """
     compared = 0
     for process, exchanges in exchanges_by_process(path).items():
         compare_process(f"{path}: process {process}", exchanges, command)
@@ -137,38 +150,39 @@
 
 
 def compare_process(title: str, exchanges: list[Exchange], command: str) -> None:
-    """Play the batches of one process through a new adapter.
+    """Send the recorded batches of one process to a new adapter and compare its replies with the recording.
 
     Raises:
-        StreamMismatchError: a reply differs; the text begins with the title.
+        StreamMismatchError: a reply differs, and the message begins with the title; or a reply is missing.
+        ReplyError: the bytes of a reply are not exactly one frame.
     """
     with Adapter(command) as adapter:
         for number, exchange in enumerate(exchanges):
-            reply = adapter.answer(exchange.batch)
+            reply = adapter.send_batch(exchange.batch)
             if comparable_actions(reply) != comparable_actions(exchange.reply):
                 raise StreamMismatchError(f"{title}: reply {number} differs")
 
 
 def children_seconds() -> float:
-    """Processor seconds of all ended child processes."""
+    """Return the processor time of all child processes that have exited, in seconds."""
     times = os.times()
     return times.children_user + times.children_system
 
 
 def main() -> int:
-    """Exit code 0 where all streams come back the same, 1 at the first difference."""
+    """Compare all streams; return exit code 0 if every reply is the same, or 1 at the first difference."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("streams", nargs="+", type=Path)
     command = adapter_command()
     for path in parser.parse_args().streams:
         before = children_seconds()
         try:
-            compared = compare_tap(path, command)
+            compared = compare_tap_file(path, command)
         except (StreamMismatchError, ReplyError) as error:
             print(error, file=sys.stderr)
             return 1
         used = children_seconds() - before
-        print(f"{path.name}: {compared} replies the same, {used:.2f} s of processor time")
+        print(f"{path.name}: {compared} replies are the same, {used:.2f} s of processor time")
     return 0
 
 
--- a/tools/replay_stream.py
+++ b/tools/replay_stream.py
@@ -1,9 +1,12 @@
-"""Plays the recorded batches of tests/data/stream.bin through the command that deploy/balancer.toml names.
+"""Send the recorded batches of tests/data/stream.bin to the adapter, and check its replies.
 
-    python -m tools.replay_stream             play them, from the root of the repository
-    python -m tools.replay_stream --record    write the recording anew
+The adapter is started with the command in deploy/balancer.toml.
 
-``stream_recording`` says what the batches hold.  The frames are written and read without the package's codec.
+    python -m tools.replay_stream             replay the recording; run from the root of the repository
+    python -m tools.replay_stream --record    regenerate the recording
+
+``stream_recording`` describes the content of the batches.  The frames are written and read without
+``load_balancer.simulator.codec``.
 """
 
 from __future__ import annotations
@@ -28,12 +31,12 @@
 
 STREAM = ROOT / "tests" / "data" / "stream.bin"
 MIN_FORWARDED_BY_CHANGING_INSTANCE = 21
-REQUEST_ID = struct.Struct("<4xI")  # after the number of the instance
-FAULT_TEXT_OFFSET = 6  # after the number of the instance and the length of the text
+REQUEST_ID = struct.Struct("<4xI")  # follows the instance id
+FAULT_TEXT_OFFSET = 6  # the text follows the instance id and the length of the text
 
 
 def count_batches(stream: bytes) -> int:
-    """The number of batch frames in a stream."""
+    """Return the number of batch frames in a stream."""
     count = 0
     position = 0
     while position < len(stream):
@@ -44,7 +47,7 @@
 
 
 def adapter_output(command: str, stream: bytes, hash_seed: str) -> bytes:
-    """The adapter's whole output for a stream."""
+    """Run the adapter on a stream with this hash seed, and return its complete output."""
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
     run = subprocess.run(
         ["/bin/sh", "-c", command], input=stream, capture_output=True, cwd=ROOT, env=environment, check=False
@@ -53,52 +56,60 @@
     return run.stdout
 
 
-def requests_of(actions: Iterable[ActionRecord], code: ActionCode) -> set[int]:
-    """The requests that actions of this code are about."""
+def request_ids(actions: Iterable[ActionRecord], code: ActionCode) -> set[int]:
+    """Return the ids of the requests to which the actions with this code apply."""
     return {REQUEST_ID.unpack_from(action.fields)[0] for action in actions if action.code == code}
 
 
-def check(replies: list[Reply]) -> None:
-    """Fail where the replies do not suit the recorded events."""
+def check_replies(replies: list[Reply]) -> None:
+    """Check that the replies are correct for the recorded events.
+
+    Raises:
+        AssertionError: a reply is wrong; the message describes how.
+    """
     actions = [action for reply in replies for action in reply.actions]
     for action in actions:
         is_fault = action.code == ActionCode.INSTANCE_FAULT
         assert not is_fault, f"an instance failed: {action.fields[FAULT_TEXT_OFFSET:].decode()}"
-    forwarded = requests_of(actions, ActionCode.SEND_ATTEMPT)
-    not_forwarded = STEADY_REQUESTS - forwarded
-    assert not not_forwarded, f"not forwarded at once: {sorted(not_forwarded)}"
-    unserved = requests_of(actions, ActionCode.REJECT_REQUEST) | requests_of(actions, ActionCode.FAIL_REQUEST)
-    otherwise_answered = STEADY_REQUESTS & unserved
-    assert not otherwise_answered, f"a served request has another answer: {sorted(otherwise_answered)}"
+    forwarded = request_ids(actions, ActionCode.SEND_ATTEMPT)
+    missing = STEADY_REQUESTS - forwarded
+    assert not missing, f"requests were not forwarded at once: {sorted(missing)}"
+    unserved = request_ids(actions, ActionCode.REJECT_REQUEST) | request_ids(actions, ActionCode.FAIL_REQUEST)
+    rejected_or_failed = STEADY_REQUESTS & unserved
+    assert not rejected_or_failed, f"forwarded requests were rejected or failed: {sorted(rejected_or_failed)}"
     forwarded_by_changing_instance = forwarded - STEADY_REQUESTS
     assert (
         len(forwarded_by_changing_instance) >= MIN_FORWARDED_BY_CHANGING_INSTANCE
-    ), "the second instance hardly forwards"
+    ), "the second instance forwarded too few requests"
 
 
 def record() -> None:
-    """Write the recording anew."""
+    """Regenerate the recording."""
     STREAM.parent.mkdir(exist_ok=True)
     STREAM.write_bytes(b"".join(batch.pack() for batch in recorded_batches()))
 
 
 def replay() -> None:
-    """Play the recording and check the replies; an AssertionError says what does not suit it."""
+    """Replay the recording twice, with different hash seeds, and check the replies.
+
+    Raises:
+        AssertionError: the adapter failed or its replies are wrong; the message describes how.
+    """
     command = adapter_command()
     stream = STREAM.read_bytes()
     output = adapter_output(command, stream, "1")
     assert output == adapter_output(command, stream, "2"), "replies depend on the order of a hash table"
     replies = list(read_replies(output))
-    assert len(replies) == count_batches(stream), "not one reply for each batch"
-    check(replies)
+    assert len(replies) == count_batches(stream), "the number of replies differs from the number of batches"
+    check_replies(replies)
     action_count = sum(len(reply.actions) for reply in replies)
-    print(f"recorded stream: {len(replies)} replies, {action_count} actions, as they should be")
+    print(f"recorded stream: {len(replies)} replies, {action_count} actions, all as expected")
 
 
 def main() -> int:
-    """Exit code 0 where all replies suit the recording."""
+    """Replay or regenerate the recording, and return exit code 0 on success."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
-    parser.add_argument("--record", action="store_true", help="write the recording anew")
+    parser.add_argument("--record", action="store_true", help="regenerate the recording")
     if parser.parse_args().record:
         record()
     else:
--- a/tools/stream_recording.py
+++ b/tools/stream_recording.py
@@ -1,8 +1,8 @@
-"""The batches of tests/data/stream.bin: what two instances of the adapter receive, step by step.
+"""The batches of tests/data/stream.bin, which contain the events of two policy instances.
 
-Instance 1 has one idle endpoint, so each of its requests has to be forwarded there at once.  Instance 2 has
-several endpoints that are added, drained and restarted, receives no outcomes and is killed in between.  No
-event depends on a decision.
+Instance 1 has one idle endpoint, so each of its requests must be forwarded to this endpoint at once.
+Instance 2 has several endpoints that are added, drained and restarted.  It receives no outcomes of its
+attempts, and is killed and restarted partway through.  No event depends on a decision of the policy.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class ListMode(IntEnum):
-    """How an endpoint list update is meant."""
+    """The kind of an endpoint list update."""
 
     DELTA = 1
     CACHED = 2
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRow:
-    """An endpoint of a recorded list; its address, zone and cell follow from the number of its server."""
+    """An endpoint of a recorded list; its address, zone and cell are derived from its server number."""
 
     server_number: int
     readiness: Readiness = Readiness.READY
     started_ms: float = 0.0
 
     def pack(self) -> bytes:
-        """The row's entry in an endpoint table."""
+        """Return the encoded row of an endpoint table."""
         zone, cell = self.server_number % 2, self.server_number // 3
         address = server_address(self.server_number)
         return struct.pack("<fH6sBHBd", 1.0, 0, address, zone, cell, self.readiness, self.started_ms)
@@ -82,39 +82,39 @@
     """A recorded batch.
 
     Attributes:
-        now_ms: its clock.
-        records: its records, headers included.
+        now_ms: the time at which the events of the batch happen, in milliseconds.
+        records: the encoded records, including their headers.
     """
 
     now_ms: float
     records: list[bytes] = field(default_factory=list)
 
     def pack(self) -> bytes:
-        """The batch's frame."""
+        """Return the encoded batch frame."""
         body = b"".join(self.records)
         return BATCH_HEADER.pack(len(body), self.now_ms, len(self.records)) + body
 
 
 def pack_record(code: EventCode, layout: str, *values: object, tail: bytes = b"") -> bytes:
-    """A record with its header; the tail follows the values."""
+    """Return a record with its header; the bytes of ``tail`` follow the packed values."""
     fields = struct.pack("<" + layout, *values) + tail
     return RECORD_HEADER.pack(code, len(fields)) + fields
 
 
 def server_address(number: int) -> bytes:
-    """The address of a server in the wire's form."""
+    """Return the address of a server as encoded in the protocol: 4 bytes of IP address, 2 bytes of port."""
     return bytes([10, 0, 0, number]) + struct.pack(">H", 8000)
 
 
 def start_instance(instance: int, seed: int) -> bytes:
-    """The record that starts an instance."""
+    """Return the record that starts an instance."""
     return pack_record(
         EventCode.INSTANCE_STARTED, "IQI", instance, seed, len(SETTINGS), tail=SETTINGS.encode()
     )
 
 
 def update_list(instance: int, table_number: int, mode: ListMode, rows: list[EndpointRow]) -> list[bytes]:
-    """The two records of an endpoint list update: the table and the reference to it."""
+    """Return the two records of an endpoint list update: the table, and the update that refers to it."""
     entries = b"".join(row.pack() for row in rows)
     return [
         pack_record(EventCode.ENDPOINT_TABLE, "II", table_number, len(rows), tail=entries),
@@ -123,13 +123,13 @@
 
 
 def arrival(instance: int, request: int, class_index: int, budget_ms: float) -> bytes:
-    """A request of the first tenant, without an idempotency key and a cost hint."""
+    """Return the arrival of a request of the first tenant, without an idempotency key or a cost hint."""
     fields = (instance, request, class_index, 0, 0, budget_ms, 0.0, 0)
     return pack_record(EventCode.REQUEST_ARRIVED, "IIHHQddH", *fields)
 
 
 def arrivals(step: int, steady_request: int) -> list[bytes]:
-    """One request for each instance; the classes alternate."""
+    """Return one request arrival for each instance; the request class alternates between steps."""
     class_index = step % 2
     return [
         arrival(STEADY_INSTANCE, steady_request, class_index, 900.0),
@@ -138,7 +138,7 @@
 
 
 def list_changes(step: int, now_ms: float, rows: list[EndpointRow]) -> list[bytes]:
-    """What happens at this step to the second instance and to its endpoints."""
+    """Return the list updates, kill and restart of the second instance at this step, if any."""
     if step == STEP_WITH_DELTA:
         changed = [EndpointRow(2, Readiness.DRAINING), EndpointRow(3, Readiness.READY, now_ms - 50.0)]
         return update_list(CHANGING_INSTANCE, 3, ListMode.DELTA, changed)
@@ -150,7 +150,11 @@
 
 
 def outcomes(step: int, steady_request: int) -> list[bytes]:
-    """The first instance's attempt ends well; later, old requests of the second instance are abandoned."""
+    """Return the end of the first instance's attempt and, in later steps, the end of an unanswered request.
+
+    The attempt succeeds.  In each step after number STEPS_BEFORE_ABANDONING, the second instance's request of
+    STEPS_BEFORE_ABANDONING steps earlier is also abandoned.
+    """
     fields = (STEADY_INSTANCE, steady_request, 0, server_address(1), STATUS_OK, 10.0, 1, 0)
     ended = pack_record(EventCode.ATTEMPT_ENDED, "IIH6sHdBB", *fields)
     if step <= STEPS_BEFORE_ABANDONING:
@@ -160,7 +164,7 @@
 
 
 def recorded_batches() -> Iterator[Batch]:
-    """The batches of the recording."""
+    """Yield the batches of the recording, in order."""
     rows = [EndpointRow(number) for number in range(2, 8)]
     steady_update = update_list(STEADY_INSTANCE, 0, ListMode.CACHED, [EndpointRow(1)])
     yield Batch(100.0, [start_instance(STEADY_INSTANCE, 11), *steady_update])
