--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the load balancer; they mirror the package."""
+"""Tests of the load balancer; their folders mirror those of the package."""
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulator's wire and of the adapter on it."""
+"""Tests of the simulator's wire protocol and of the adapter."""
--- a/tests/simulator/frames.py
+++ b/tests/simulator/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's wire for tests, packed without the package's codec."""
+"""Build frames of the simulator's wire protocol for tests, without ``load_balancer.simulator.codec``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 ENDPOINT_B = bytes.fromhex("0a9011f2b413")
 SEED = 5
 
-# The codes of received records.
+# The codes of event records, which the adapter receives.
 INSTANCE_STARTED = 1
 ENDPOINT_LIST_UPDATE = 2
 REQUEST_ARRIVED = 3
@@ -21,12 +21,14 @@
 INSTANCE_KILLED = 10
 ENDPOINT_TABLE = 11
 
-# The codes of sent records.
+# The codes of action records, which the adapter sends.
 SEND_ATTEMPT = 65
 INSTANCE_FAULT = 74
 
-# The kinds of an endpoint list update, and states of an endpoint.
+# The kinds of endpoint list updates.
 DELTA, CACHED, FULL, FAILED = 1, 2, 3, 0
+
+# The states of endpoints.
 SERVING, DRAINING = 1, 2
 
 REQUIRED_SETTINGS = {
@@ -38,60 +40,63 @@
 
 
 def settings_values(changes: dict[str, str | None] | None = None) -> dict[str, str]:
-    """The required settings with these changes; None leaves a setting out."""
+    """Return the required settings with these changes; a change to None omits the setting."""
     values = {**REQUIRED_SETTINGS, **(changes or {})}
     return {path: value for path, value in values.items() if value is not None}
 
 
 def settings_text(changes: dict[str, str | None] | None = None) -> str:
-    """The required settings with these changes as the wire's path=value lines."""
+    """Return the required settings with these changes as lines of the form ``path=value``."""
     return "\n".join(f"{path}={value}" for path, value in settings_values(changes).items())
 
 
 def record(code: int, fields: bytes) -> bytes:
-    """A record with its header."""
+    """Return a record with its header."""
     return struct.pack("<BI", code, len(fields)) + fields
 
 
 def batch(*records: bytes, now_ms: float = 241.004) -> bytes:
-    """A batch frame of these records."""
+    """Return a batch frame that contains these records."""
     body = b"".join(records)
     return struct.pack("<IdI", len(body), now_ms, len(records)) + body
 
 
 def instance_started(instance_id: int, text: str | None = None) -> bytes:
-    """The start of an instance, by default with the required settings."""
+    """Return the record that starts an instance, by default with the required settings."""
     raw = (settings_text() if text is None else text).encode()
     return record(INSTANCE_STARTED, struct.pack("<IQI", instance_id, SEED, len(raw)) + raw)
 
 
 def instance_killed(instance_id: int) -> bytes:
-    """The end of an instance."""
+    """Return the record that kills an instance."""
     return record(INSTANCE_KILLED, struct.pack("<I", instance_id))
 
 
 def endpoint_table(number: int, *rows: bytes) -> bytes:
-    """A numbered table of endpoint rows."""
+    """Return the record of a numbered endpoint table with these rows."""
     return record(ENDPOINT_TABLE, struct.pack("<II", number, len(rows)) + b"".join(rows))
 
 
 def endpoint_row(endpoint_id: bytes, state: int = SERVING, started_ms: float = 0.0) -> bytes:
-    """An endpoint row with weight 1.5, machine type 2, zone 1 and cell 7."""
+    """Return an endpoint row with weight 1.5, machine type 2, zone 1 and cell 7."""
     return struct.pack("<fH6sBHBd", 1.5, 2, endpoint_id, 1, 7, state, started_ms)
 
 
-def list_update(instance_id: int, table_number: int, mode: int) -> bytes:
-    """An endpoint list update of version 41 that refers to a table."""
-    return record(ENDPOINT_LIST_UPDATE, struct.pack("<IIIB", instance_id, 41, table_number, mode))
+def list_update(instance_id: int, table_number: int, kind: int) -> bytes:
+    """Return the record of an endpoint list update with version 41 that refers to a table."""
+    return record(ENDPOINT_LIST_UPDATE, struct.pack("<IIIB", instance_id, 41, table_number, kind))
 
 
 def request_arrived(instance_id: int, request_id: int, flags: int = 1) -> bytes:
-    """A request of class 0 and tenant 1 with key 9, 240 ms left and a cost hint of 12 ms."""
+    """Return the arrival of a request.
+
+    The request has class 0, tenant 1, idempotency key 9, a budget of 240 ms and a cost hint of 12 ms.
+    """
     fields = struct.pack("<IIHHQddH", instance_id, request_id, 0, 1, 9, 240.0, 12.0, flags)
     return record(REQUEST_ARRIVED, fields)
 
 
 def attempt_ended(instance_id: int, request_id: int, status: int, *, finished: bool = False) -> bytes:
-    """The end of attempt 0 of a request at endpoint A after 1 ms, without a load report."""
+    """Return the end of attempt 0 of a request at endpoint A after 1 ms, without a load report."""
     fields = struct.pack("<IIH6sHdBB", instance_id, request_id, 0, ENDPOINT_A, status, 1.0, finished, 0)
     return record(ATTEMPT_ENDED, fields)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: independent instances on one wire, and the command at the edges of its input."""
+"""Tests of the adapter: the independence of its instances, and its handling of empty and malformed input."""
 
 from __future__ import annotations
 
@@ -34,7 +34,11 @@
 
 
 def serve_batches(*batches: bytes) -> list[list[tuple[int, bytes]]]:
-    """The replies of an adapter in this process to these batches: the code and the fields of each record."""
+    """Run the adapter in this process on these batches.
+
+    Returns:
+        The replies in order, each as a list with the code and the fields of each record.
+    """
     sink = BytesIO()
     serve(BytesIO(b"".join(batches)), sink)
     replies = read_replies(sink.getvalue())
@@ -42,16 +46,16 @@
 
 
 def run_adapter(raw: bytes) -> subprocess.CompletedProcess[bytes]:
-    """The adapter's command, run to its end on this input."""
+    """Run the adapter as a separate process on this input, and wait for it to exit."""
     command = [sys.executable, "-m", ADAPTER_MODULE]
     return subprocess.run(command, input=raw, capture_output=True, check=False)
 
 
-def test_empty_batch_is_answered_by_an_empty_reply() -> None:
+def test_empty_batch_gets_an_empty_reply() -> None:
     assert serve_batches(batch()) == [[]]
 
 
-def test_instance_that_is_killed_and_started_again_in_one_batch_forgets_its_endpoints() -> None:
+def test_instance_killed_and_restarted_in_one_batch_loses_its_endpoints() -> None:
     first, second = serve_batches(
         batch(
             instance_started(4),
@@ -71,7 +75,7 @@
     assert sent_to == [[ENDPOINT_A], [ENDPOINT_B]]
 
 
-def test_fault_of_one_instance_is_reported_and_the_others_go_on() -> None:
+def test_fault_of_one_instance_is_reported_and_other_instances_continue() -> None:
     start = (
         instance_started(4),
         instance_started(5),
@@ -90,7 +94,7 @@
     )
 
 
-def test_batch_of_thousands_of_arrivals_is_answered() -> None:
+def test_batch_of_thousands_of_arrivals_gets_a_reply() -> None:
     start = batch(
         instance_started(4),
         endpoint_table(0, endpoint_row(ENDPOINT_A), endpoint_row(ENDPOINT_B)),
@@ -100,9 +104,9 @@
     assert any(code == SEND_ATTEMPT for code, _ in reply)
 
 
-def test_command_ends_with_exit_code_0_at_the_end_of_input() -> None:
-    done = run_adapter(batch())
-    assert (done.returncode, done.stdout, done.stderr) == (0, bytes(8), b"")
+def test_command_exits_with_code_0_at_the_end_of_input() -> None:
+    completed = run_adapter(batch())
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, bytes(8), b"")
 
 
 @pytest.mark.parametrize(
@@ -114,18 +118,18 @@
         pytest.param(batch(record(99, b"")), id="unknown record code"),
         pytest.param(batch(record(REQUEST_ABANDONED, b"\x01")), id="fields cut short"),
         pytest.param(batch(attempt_ended(4, 5, 777, finished=True)), id="unknown status"),
-        pytest.param(batch(list_update(4, 3, CACHED)), id="unknown table"),
+        pytest.param(batch(list_update(4, 3, CACHED)), id="unknown endpoint table"),
         pytest.param(batch(request_arrived(4, 1)), id="instance not started"),
         pytest.param(
-            batch(instance_started(4, settings_text({"profiles.count": "0"}))), id="unusable settings"
+            batch(instance_started(4, settings_text({"profiles.count": "0"}))), id="invalid settings"
         ),
         pytest.param(batch(instance_started(4)) + b"\x00", id="surplus byte"),
     ],
 )
-def test_malformed_input_ends_the_command_with_exit_code_2_and_one_line(raw: bytes) -> None:
-    done = run_adapter(raw)
-    text = done.stderr.decode()
-    assert done.returncode == 2
+def test_command_exits_with_code_2_and_one_error_line_on_malformed_input(raw: bytes) -> None:
+    completed = run_adapter(raw)
+    text = completed.stderr.decode()
+    assert completed.returncode == 2
     assert text.startswith(f"{ADAPTER_MODULE}: ")
     assert text.count("\n") == 1
     assert "Traceback" not in text
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""Records of the simulator's wire, to the byte and field by field."""
+"""Tests of decoding event records field by field, and of encoding actions and reply frames byte for byte."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     settings_text,
 )
 
-WIRE_CODED_ACTIONS: list[tuple[Action, str]] = [
+ENCODED_ACTIONS: list[tuple[Action, str]] = [
     (
         SendAttempt(0x5D3A91C4, ENDPOINT_A, 80.0),
         "41 16000000 03000000 c4913a5d 0a124a07 8b13 0000000000005440",
@@ -87,11 +87,11 @@
 
 
 def decode(*records: bytes) -> list[Record]:
-    """The decoded records of one batch, endpoint tables aside."""
+    """Return the decoded records of one batch, without the endpoint tables."""
     decoder = Decoder()
     batch = Batch(241.004, len(records), b"".join(records))
-    found = (decoder.decode(code, fields) for code, fields in split_records(batch))
-    return [decoded for decoded in found if decoded is not None]
+    results = (decoder.decode(code, fields) for code, fields in split_records(batch))
+    return [decoded for decoded in results if decoded is not None]
 
 
 @pytest.mark.parametrize(
@@ -158,13 +158,13 @@
         (409, Outcome.NOT_SENT),
     ],
 )
-def test_status_is_decoded_as_outcome(status: int, outcome: Outcome) -> None:
+def test_status_is_decoded_to_outcome(status: int, outcome: Outcome) -> None:
     ((_, event),) = decode(attempt_ended(3, 9, status))
     assert isinstance(event, AttemptEnded)
     assert event.outcome is outcome
 
 
-def test_reused_table_number_is_decoded_in_order() -> None:
+def test_list_update_refers_to_latest_table_with_its_number() -> None:
     a = Endpoint(ENDPOINT_A, EndpointState.SERVING, 1.5, 2, 1, 7, 0.0)
     b = Endpoint(ENDPOINT_B, EndpointState.DRAINING, 1.5, 2, 1, 7, 8.0)
     records = decode(
@@ -204,26 +204,26 @@
     assert problem in caught.value.problem
 
 
-def test_unusable_setting_text_names_the_path() -> None:
+def test_invalid_setting_error_names_the_path() -> None:
     with pytest.raises(WireError, match=r"profiles\.0\.aimMs is not a number"):
         parse_settings(settings_text({"profiles.0.aimMs": "soon"}))
 
 
-def test_settings_lines_are_stripped_and_lines_without_value_are_ignored() -> None:
+def test_spaces_in_settings_lines_and_lines_without_value_are_ignored() -> None:
     text = settings_text().replace("=", " = ") + "\n\nno value here\n"
     assert parse_settings(text) == parse_settings(settings_text())
 
 
-@pytest.mark.parametrize(("action", "expected"), WIRE_CODED_ACTIONS)
-def test_action_is_encoded_to_the_byte(action: Action, expected: str) -> None:
+@pytest.mark.parametrize(("action", "expected"), ENCODED_ACTIONS)
+def test_action_is_encoded_byte_for_byte(action: Action, expected: str) -> None:
     assert encode_action(3, action) == bytes.fromhex(expected)
 
 
 def test_every_action_type_is_encoded() -> None:
-    assert {type(action) for action, _ in WIRE_CODED_ACTIONS} == set(get_args(Action))
+    assert {type(action) for action, _ in ENCODED_ACTIONS} == set(get_args(Action))
 
 
-def test_fault_is_encoded_to_the_byte() -> None:
+def test_instance_fault_is_encoded_byte_for_byte() -> None:
     encoded = encode_fault(3, "index out of range")
     assert encoded == bytes.fromhex("4a 18000000 03000000 1200") + b"index out of range"
 
@@ -238,5 +238,5 @@
     assert encode_reply([]) == bytes(8)
 
 
-def test_long_log_text_is_cut() -> None:
+def test_long_log_text_is_truncated() -> None:
     assert len(encode_action(3, LogEvent("x" * 100_000))) < 2000
