--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the node's process, started by the command of deploy/balancer.toml as the platform starts it."""
+"""Tests of the node's process, started with the command of deploy/balancer.toml, as on the platform."""
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests that start processes."""
+"""Fixtures for the tests that start node processes."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import pytest
 
-from tests.process.node_process import end_started_processes
+from tests.process.node_process import kill_started_processes
 
 
 @pytest.fixture(autouse=True)
-def _end_started_processes() -> Iterator[None]:
-    """A test that fails leaves no process behind."""
+def _kill_started_processes() -> Iterator[None]:
+    """Kill the node processes that a test has left running, for example because it failed."""
     yield
-    end_started_processes()
+    kill_started_processes()
--- a/tests/process/node_process.py
+++ b/tests/process/node_process.py
@@ -1,4 +1,4 @@
-"""Starts nodes as processes of their own, with the command of deploy/balancer.toml."""
+"""Start nodes as separate processes with the run command of deploy/balancer.toml."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     """A node's configuration file.
 
     Attributes:
-        path: where it is.
-        content: what was written to it at first.
+        path: the path of the file.
+        content: the initial content of the file.
     """
 
     path: Path
@@ -38,19 +38,25 @@
 
     @classmethod
     def write(cls, directory: Path, *, sockets: int, **members: Any) -> ConfigurationFile:
-        """Write a file with the sample settings; members replace or extend its content."""
+        """Write a configuration file with the sample settings into a directory.
+
+        Args:
+            directory: the directory of the new file.
+            sockets: the limit on open descriptors that the file sets.
+            members: top-level members that replace or extend the default content.
+        """
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": sockets}
         content = {"seed": "1", "limits": limits, "settings": settings(), **members}
         path = directory / "config.json"
         path.write_text(json.dumps(content))
         return cls(path, content)
 
-    def name_discovery(self, discovery: StubDiscovery) -> None:
-        """Write the file anew, with the address of this discovery."""
+    def set_discovery_address(self, discovery: StubDiscovery) -> None:
+        """Rewrite the file with its initial content and the address of this discovery service."""
         self.path.write_text(json.dumps({**self.content, "discovery": discovery.address}))
 
     def environment(self, discovery: StubDiscovery) -> dict[str, str]:
-        """The environment of a node that has this file and listens on a free port."""
+        """Return the environment variables of a node that reads this file and listens on a free port."""
         return {
             "NODE_NAME": NODE_NAME,
             "NODE_LISTEN": f"{HOST}:0",
@@ -61,11 +67,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeProcess:
-    """A node that listens.
+    """A running node that accepts connections.
 
     Attributes:
-        process: its process.
-        address: where clients connect.
+        process: the process of the node.
+        address: the host and port to which clients connect.
     """
 
     process: asyncio.subprocess.Process
@@ -75,33 +81,39 @@
     async def start(
         cls, configuration: ConfigurationFile, discovery: StubDiscovery, descriptors: int = 0
     ) -> NodeProcess:
-        """Start a node on a free port and wait until it listens."""
+        """Start a node on a free port and wait until it listens.
+
+        A value of ``descriptors`` other than 0 limits the process to that many open descriptors.
+        """
         process = await start_process(configuration.environment(discovery), descriptors)
         assert process.stderr is not None
         line = (await asyncio.wait_for(process.stderr.readline(), TIMEOUT_S)).decode()
         return cls(process, listening_address(line))
 
     async def wait_until_ready(self) -> None:
-        """Wait until the node says that it is ready."""
+        """Wait until the node's /ready path returns status 200."""
         client = await Client.connect(self.address)
         async with asyncio.timeout(TIMEOUT_S):
             while (await client.fetch(target="/ready")).status != 200:
                 await asyncio.sleep(0.05)
 
-    def used_seconds(self) -> float:
-        """The processor time that the process has used."""
+    def cpu_seconds(self) -> float:
+        """Return the processor time that the process has used, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def used_descriptors(self) -> int:
-        """How many descriptors the process has open."""
+    def open_descriptors(self) -> int:
+        """Return the number of descriptors that the process has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
 
 async def start_process(
     environment: dict[str, str], descriptors: int = 0, stderr: int = asyncio.subprocess.PIPE
 ) -> asyncio.subprocess.Process:
-    """Start a node's process; where descriptors are given the system limits it to as many."""
+    """Start a node's process with these additional environment variables.
+
+    A value of ``descriptors`` other than 0 limits the process to that many open descriptors.
+    """
 
     def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
@@ -121,22 +133,22 @@
 
 
 def listening_address(line: str) -> tuple[str, int]:
-    """The address that a node's first log line names."""
-    found = re.search(rf"node_started name={NODE_NAME} address=([\d.]+):(\d+)", line)
-    assert found, line
-    return found[1], int(found[2])
+    """Return the host and port from the first line of a node's log."""
+    match = re.search(rf"node_started name={NODE_NAME} address=([\d.]+):(\d+)", line)
+    assert match, line
+    return match[1], int(match[2])
 
 
 async def terminate(process: asyncio.subprocess.Process) -> bytes:
-    """End a node with SIGTERM; returns the rest of its log."""
+    """Stop a node with SIGTERM, check that it exits with code 0, and return the rest of its log."""
     process.send_signal(signal.SIGTERM)
     _, log = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
     assert process.returncode == 0, log.decode()
     return log
 
 
-def end_started_processes() -> None:
-    """Kill what tests have started and not ended."""
+def kill_started_processes() -> None:
+    """Kill all node processes that tests have started and that are still running."""
     for process in _started:
         if process.returncode is None:
             os.kill(process.pid, signal.SIGKILL)
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -1,4 +1,4 @@
-"""The limit on a process's descriptors."""
+"""Tests that a node stays within its limit on open descriptors."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class _PushingDiscovery:
-    """Has discovery push one list on every watch, from the first one on.
+    """A stub discovery service that pushes the same endpoint list once on each watch that the node opens.
 
     Attributes:
-        watches: the watches that were opened.
+        watches: all watches that the node has opened so far, in order.
     """
 
     def __init__(self, discovery: StubDiscovery, endpoints: list[StubServer]) -> None:
         self.watches: list[asyncio.StreamWriter] = []
         self._discovery = discovery
-        self._list = listing(2, *(row(f"s{i}", one.address) for i, one in enumerate(endpoints)))
+        self._list = listing(2, *(row(f"s{i}", endpoint.address) for i, endpoint in enumerate(endpoints)))
         self._task = asyncio.create_task(self._push())
 
     async def _push(self) -> None:
@@ -37,7 +37,7 @@
             send_line(self.watches[-1], self._list)
 
     async def break_watch(self) -> None:
-        """Reset the watch and wait until the node has opened another; that one is the last."""
+        """Reset the watch, wait until the node has opened a new watch, and push no list on later watches."""
         opened = len(self.watches)
         self.watches[-1].transport.abort()
         await until(lambda: len(self.watches) > opened)
@@ -45,11 +45,12 @@
 
 
 def _settings(hedging: bool) -> dict[str, Any]:
-    """Settings under which a connection to an endpoint is opened only for an attempt.
+    """Return settings with which the node opens a connection to an endpoint only for an attempt.
 
-    A late connection is not raced and an ejected endpoint is not checked; without hedging a late attempt is
-    left alone.  How often these occur depends on how busy the machine is, and each takes a connection that a
-    request of a burst would have had.
+    A slow connection attempt is not raced against a second connection, and an ejected endpoint gets no health
+    check.  Without hedging, a slow attempt is neither cancelled nor hedged.  How often each of these would
+    happen depends on how busy the machine is, and each would take a connection that a request of a burst
+    needs.
     """
     limits = policy_limits(
         cancel=hedging, connectTimeoutMs=1000.0 * TIMEOUT_S, mayDuplicate=hedging, probes=False
@@ -59,26 +60,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _Burst:
-    """Clients that each send one request, and read the response as soon as it comes."""
+    """Clients that each send one request and read the response when it arrives."""
 
     clients: list[Client]
     responses: list[asyncio.Task[Response]]
 
     @classmethod
     async def send(cls, address: tuple[str, int], count: int) -> _Burst:
-        """Open so many connections with a request on each."""
+        """Open ``count`` connections and send one request on each."""
         clients = []
         for _ in range(count):
             clients.append(await Client.connect(address))
             clients[-1].writer.write(request("look"))
         return cls(clients, [asyncio.create_task(client.read_response()) for client in clients])
 
-    def answered(self) -> int:
-        """How many of the requests have been answered."""
+    def completed(self) -> int:
+        """Return the number of requests whose response has arrived."""
         return sum(response.done() for response in self.responses)
 
     async def statuses(self) -> list[int]:
-        """The statuses of all responses; waits for them."""
+        """Wait for all responses and return their statuses."""
         return [(await response).status for response in self.responses]
 
     def disconnect(self) -> None:
@@ -89,12 +90,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _Load:
-    """The idle clients of a node and the endpoints that serve it.
+    """The load on one node: idle clients and bursts of requests.
 
     Attributes:
-        node: the node.
-        endpoints: the endpoints of its list; they answer when released.
-        sockets: the node's limit.
+        node: the node under load.
+        endpoints: the endpoints in the node's list, which hold each request until they are released.
+        sockets: the node's limit on open descriptors.
         idle: the clients that have connected and send nothing.
     """
 
@@ -104,45 +105,51 @@
     idle: list[Client] = field(default_factory=list)
 
     async def connect_idle(self, count: int) -> None:
-        """Open so many connections on which nothing is sent."""
+        """Open ``count`` connections and send nothing on them."""
         self.idle.extend([await Client.connect(self.node.address) for _ in range(count)])
 
     async def learn_latency(self) -> None:
-        """Have the node learn that responses come at once, so that it soon hedges requests that are held."""
+        """Let the node measure low latencies, so that it soon hedges requests that the endpoints hold."""
         for endpoint in self.endpoints:
             endpoint.release.set()
         client = await Client.connect(self.node.address)
         assert [(await client.fetch()).status for _ in self.endpoints] == [200] * len(self.endpoints)
         client.close()
 
-    async def most_descriptors_used(self) -> int:
-        """Send bursts of requests while idle clients connect; returns the most descriptors in use."""
-        # What is idle after one burst is still there in the next.
-        return max([await self._descriptors_used_in_burst() for _ in range(4)])
+    async def max_open_descriptors(self) -> int:
+        """Send bursts of requests while idle clients connect, and return the peak of open descriptors."""
+        # Connections that are idle after one burst are still open during the next.
+        return max([await self._descriptors_in_burst() for _ in range(4)])
 
-    async def _descriptors_used_in_burst(self) -> int:
+    async def _descriptors_in_burst(self) -> int:
         for endpoint in self.endpoints:
             endpoint.release.clear()
             endpoint.received.clear()
         burst = await _Burst.send(self.node.address, self.sockets // 3)
         await self.connect_idle(self.sockets // 2)
-        # The endpoints answer when the node has rejected or sent every request of the burst.  The lower bound
-        # counts attempts, as a hedged request takes two connections; without hedging each request has one.
-        await until(lambda: len(set(self._held())) + burst.answered() == len(burst.clients))
-        await until(lambda: len(self._held()) >= len(burst.clients) // 2)
-        held = self._held()
-        used = self.node.used_descriptors()
+        # Wait until the node has rejected every request of the burst or sent it to an endpoint, and only then
+        # release the endpoints.  The lower bound counts attempts rather than requests, because a hedged
+        # request takes two connections; without hedging, each request has one attempt.
+        await until(lambda: len(set(self._received_ids())) + burst.completed() == len(burst.clients))
+        await until(lambda: len(self._received_ids()) >= len(burst.clients) // 2)
+        received_ids = self._received_ids()
+        used = self.node.open_descriptors()
         for endpoint in self.endpoints:
             endpoint.release.set()
         statuses = await burst.statuses()
-        served = len(set(held))
+        served = len(set(received_ids))
         assert (statuses.count(200), statuses.count(503)) == (served, len(statuses) - served)
         burst.disconnect()
         return used
 
-    def _held(self) -> list[str]:
-        """The ids of the requests at the endpoints; that of a hedged request is in it more than once."""
-        return [one.headers["x-request-id"] for endpoint in self.endpoints for one in endpoint.received]
+    def _received_ids(self) -> list[str]:
+        """Return the request ids of all attempts that the endpoints have received.
+
+        The id of a hedged request occurs more than once.
+        """
+        return [
+            attempt.headers["x-request-id"] for endpoint in self.endpoints for attempt in endpoint.received
+        ]
 
 
 @pytest.mark.parametrize(
@@ -152,10 +159,11 @@
 async def test_idle_clients_leave_descriptors_for_discovery_and_requests(
     sockets: int, hedging: bool, tmp_path: Path
 ) -> None:
-    """The system limits the process, so that exceeding the limit shows in its log.
+    """Clients that connect and send nothing must not use up the descriptors that the node needs.
 
-    Clients connect and send nothing while discovery is down, and again while requests are in flight and
-    connections to endpoints are idle.
+    The idle clients connect while discovery does not respond, and again while requests are in flight and
+    connections to endpoints are idle.  The operating system limits the descriptors of the process, so that
+    exceeding the limit causes an error in the node's log.
     """
     async with contextlib.AsyncExitStack() as stack:
         behaviours = [[when_released(reply("200 OK", b"x"))] for _ in range(12)]
@@ -169,7 +177,7 @@
         pushing = _PushingDiscovery(discovery, endpoints)
         await node.wait_until_ready()
         await load.learn_latency()
-        used = await load.most_descriptors_used()
+        used = await load.max_open_descriptors()
         await pushing.break_watch()
         assert used < sockets
         log = await terminate(node.process)
--- a/tests/process/test_log.py
+++ b/tests/process/test_log.py
@@ -1,4 +1,4 @@
-"""The log of a process whose standard error nobody reads."""
+"""Test of a node whose log, on standard error, is not read."""
 
 from __future__ import annotations
 
@@ -16,34 +16,37 @@
 from tests.proxy.stub_server import StubServer, reply
 
 
-def _fill_pipe(writing_end: int) -> None:
-    """Write to a pipe until it takes no further byte, through an open file of our own."""
-    own_end = os.open(f"/proc/self/fd/{writing_end}", os.O_WRONLY | os.O_NONBLOCK)
+def _fill_pipe(write_end: int) -> None:
+    """Write to a pipe until it is full.
+
+    The pipe is opened a second time for this, so that the node's own descriptor stays in blocking mode.
+    """
+    nonblocking_end = os.open(f"/proc/self/fd/{write_end}", os.O_WRONLY | os.O_NONBLOCK)
     with contextlib.suppress(BlockingIOError):
         while True:
-            os.write(own_end, b"x")
-    os.close(own_end)
+            os.write(nonblocking_end, b"x")
+    os.close(nonblocking_end)
 
 
 @async_test
-async def test_log_that_nobody_reads_does_not_stop_the_node(tmp_path: Path) -> None:
-    """The reader of the log has stopped, and the pipe to it is full."""
-    reading_end, writing_end = os.pipe()
-    fcntl.fcntl(writing_end, fcntl.F_SETPIPE_SZ, 4096)
+async def test_node_keeps_serving_when_its_log_pipe_is_full(tmp_path: Path) -> None:
+    """The pipe to which the node writes its log is full, because its reader has stopped reading."""
+    read_end, write_end = os.pipe()
+    fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4096)
     async with StubServer([reply("200 OK", b"served")]) as endpoint, StubDiscovery() as discovery:
         cached_list = listing(1, row("a", endpoint.address))
         configuration = ConfigurationFile.write(tmp_path, sockets=256, known=cached_list)
-        process = await start_process(configuration.environment(discovery), stderr=writing_end)
-        line = (await asyncio.to_thread(os.read, reading_end, 4096)).decode()
+        process = await start_process(configuration.environment(discovery), stderr=write_end)
+        line = (await asyncio.to_thread(os.read, read_end, 4096)).decode()
         client = await Client.connect(listening_address(line))
         assert (await client.fetch("look")).body == b"served"
-        _fill_pipe(writing_end)
-        async with StubDiscovery() as moved:
-            configuration.name_discovery(moved)
-            process.send_signal(signal.SIGHUP)  # which is logged
-            await moved.watch()
+        _fill_pipe(write_end)
+        async with StubDiscovery() as new_discovery:
+            configuration.set_discovery_address(new_discovery)
+            process.send_signal(signal.SIGHUP)  # the node logs the reload
+            await new_discovery.watch()
             assert (await client.fetch("look")).body == b"served"
         process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 0
-    os.close(reading_end)
-    os.close(writing_end)
+    os.close(read_end)
+    os.close(write_end)
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -1,4 +1,4 @@
-"""SIGHUP and SIGTERM, from the start of a process to its end."""
+"""Tests of SIGHUP and SIGTERM while a node starts, serves and exits."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @async_test
-async def test_process_serves_follows_sighup_and_exits_0_on_sigterm(tmp_path: Path) -> None:
+async def test_process_serves_reloads_on_sighup_and_exits_0_on_sigterm(tmp_path: Path) -> None:
     async with StubServer([reply("200 OK", b"served")]) as endpoint, StubDiscovery() as discovery:
         cached_list = listing(1, row("a", endpoint.address))
         configuration = ConfigurationFile.write(tmp_path, sockets=1024, known=cached_list)
@@ -25,18 +25,21 @@
         client = await Client.connect(node.address)
         assert (await client.fetch(target="/ready")).status == 200
         assert (await client.fetch("look")).body == b"served"
-        async with StubDiscovery() as moved:
+        async with StubDiscovery() as new_discovery:
             await discovery.watch()
-            configuration.name_discovery(moved)
+            configuration.set_discovery_address(new_discovery)
             node.process.send_signal(signal.SIGHUP)
-            await moved.watch()
+            await new_discovery.watch()
             assert (await client.fetch("look")).body == b"served"
         await terminate(node.process)
 
 
 @async_test
 async def test_signals_during_exit_do_not_change_exit_code(tmp_path: Path) -> None:
-    """From the first SIGTERM on, SIGHUP and SIGTERM are sent without pause, also while the loop closes."""
+    """SIGHUP and SIGTERM are sent repeatedly from the first SIGTERM until the process exits.
+
+    Some of these signals arrive while the event loop closes.
+    """
     async with StubServer([reply("200 OK")]) as endpoint, StubDiscovery() as discovery:
         cached_list = listing(1, row("a", endpoint.address))
         configuration = ConfigurationFile.write(
@@ -52,33 +55,39 @@
         assert node.process.returncode == 0
 
 
-_WAIT_IN_INTERPRETER_START = """
+_WAIT_FOR_GATE_MODULE = """
 import os
 if os.environ.get("NODE_START_GATE"):
     open(os.environ["NODE_START_GATE"]).close()
 """
-"""A sitecustomize module: the interpreter waits in its own start until the gate, a named pipe, is opened."""
+"""The source of a sitecustomize module, which makes the interpreter wait during its startup.
+
+The interpreter waits until a named pipe, the gate, is opened for writing.
+"""
 
 
 @async_test
-async def test_sighup_while_process_starts_is_followed(tmp_path: Path) -> None:
-    """A new configuration arrives before the first line of the node's own code has run."""
+async def test_sighup_during_process_start_is_handled(tmp_path: Path) -> None:
+    """The configuration changes, and SIGHUP arrives, before any of the node's own code has run."""
     gate = tmp_path / "gate"
     os.mkfifo(gate)
-    (tmp_path / "sitecustomize.py").write_text(_WAIT_IN_INTERPRETER_START)
+    (tmp_path / "sitecustomize.py").write_text(_WAIT_FOR_GATE_MODULE)
     async with (
         StubServer([reply("200 OK")]) as endpoint,
-        StubDiscovery() as old,
-        StubDiscovery() as moved,
+        StubDiscovery() as old_discovery,
+        StubDiscovery() as new_discovery,
     ):
         cached_list = listing(1, row("a", endpoint.address))
-        parts = {"known": cached_list, "settings": settings(registryMode="pushed")}
-        configuration = ConfigurationFile.write(tmp_path, sockets=256, discovery=old.address, **parts)
+        members = {"known": cached_list, "settings": settings(registryMode="pushed")}
+        configuration = ConfigurationFile.write(
+            tmp_path, sockets=256, discovery=old_discovery.address, **members
+        )
         gate_environment = {"NODE_START_GATE": str(gate), "PYTHONPATH": str(tmp_path)}
-        process = await start_process({**configuration.environment(old), **gate_environment})
-        opened = await asyncio.to_thread(os.open, gate, os.O_WRONLY)  # returns once the interpreter waits
-        configuration.name_discovery(moved)
+        process = await start_process({**configuration.environment(old_discovery), **gate_environment})
+        # This open returns when the interpreter has reached its wait.
+        write_end = await asyncio.to_thread(os.open, gate, os.O_WRONLY)
+        configuration.set_discovery_address(new_discovery)
         process.send_signal(signal.SIGHUP)
-        os.close(opened)
-        await moved.watch()
+        os.close(write_end)
+        await new_discovery.watch()
         await terminate(process)
