--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""The suite gives the same verdict at every run: hypothesis draws no fresh examples and keeps no files."""
+"""Configure pytest and hypothesis for reproducible runs.
+
+Hypothesis generates the same examples in every run and stores none in files.
+"""
 
 from hypothesis import settings
 
--- a/tests/document_references.py
+++ b/tests/document_references.py
@@ -1,4 +1,4 @@
-"""Reads what the project's pages say of its files: paths, modules by section, functions by module."""
+"""Read the references in the project's documents: paths, modules by section, and functions by file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 ROOT = Path(__file__).parent.parent
 SEARCHED_FOLDERS = (".ci", "deploy", "docs", "fault_soak", "load_balancer", "tests", "tools")
-NOT_IN_REPOSITORY = frozenset({"config.json", "KNOWN-RED.txt"})  # an example; a file that exists at times
+# The first file is only an example; the second exists only while tests are known to fail.
+NOT_IN_REPOSITORY = frozenset({"config.json", "KNOWN-RED.txt"})
 
 _CODE_SPAN = re.compile(r"`([^`\n]+)`")
 _PATH = re.compile(
@@ -22,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Symbol:
-    """A function, a class, a constant or a test that a page names, and the file that it has to stand in.
+    """A function, class, constant or test that a document names, and the file that must define it.
 
     Attributes:
-        path: the file, as the page names it.
-        name: a name of the file's top level, or ``Class.name``.
+        path: the path of the file, as the document writes it.
+        name: a name that the file defines at its top level, or ``Class.name``.
     """
 
     path: str
@@ -34,7 +35,7 @@
 
 
 def existing_paths() -> frozenset[str]:
-    """All files and folders of the repository that a page may name, relative to its root."""
+    """Return all files and folders that a document may name, relative to the root of the repository."""
     paths = [*ROOT.glob("*.*"), *(ROOT / folder for folder in SEARCHED_FOLDERS)]
     for folder in SEARCHED_FOLDERS:
         paths += (ROOT / folder).rglob("*")
@@ -42,32 +43,33 @@
 
 
 def modules_of_package() -> frozenset[str]:
-    """The modules of load_balancer, relative to the root; not those that only make a folder a package."""
+    """Return the modules of load_balancer, without __init__.py, relative to the root of the repository."""
     modules = (ROOT / "load_balancer").rglob("*.py")
     return frozenset(path.relative_to(ROOT).as_posix() for path in modules if path.name != "__init__.py")
 
 
 def paths_in_code_spans(text: str) -> set[str]:
-    """The words in backticks that look like a path of the repository."""
+    """Return the words in code spans that look like a path in the repository."""
     words = {word for span in _CODE_SPAN.findall(text) for word in span.split()}
     paths = {word.rstrip("/") for word in words if _PATH.fullmatch(word)}
     return {path for path in paths if not path.startswith(".venv")} - NOT_IN_REPOSITORY
 
 
-def is_end_of_any(path: str, existing: frozenset[str]) -> bool:
-    """Whether the path is one of those that exist, or the end of one, in whole components."""
-    return path in existing or any(one.endswith("/" + path) for one in existing)
+def matches_existing_path(path: str, existing: frozenset[str]) -> bool:
+    """Check whether a path is an existing path or consists of the last components of an existing path."""
+    return path in existing or any(candidate.endswith("/" + path) for candidate in existing)
 
 
 def link_targets(text: str) -> set[str]:
-    """The files that a page links to, relative to the page."""
+    """Return the targets of the links in a document, relative to the document."""
     return set(_LINK.findall(text))
 
 
 def listed_modules(architecture: str) -> set[str]:
-    """The modules that the first columns of tables list.
+    """Return the modules that the first columns of the tables in the architecture document list.
 
-    A bare name belongs to a package that the section's heading names, a path to that package or to one above.
+    A file name without a folder belongs to each package that the heading of the section names.  A path is
+    relative to one of these packages, to one of their parent folders, or to the root of the repository.
     """
     listed: set[str] = set()
     packages: list[PurePosixPath] = []
@@ -86,8 +88,8 @@
     return {PurePosixPath(), *packages, *(parent for package in packages for parent in package.parents)}
 
 
-def symbols_of_races(page: str) -> set[Symbol]:
-    """The functions, constants and tests in the rows of docs/races.md, each with the path before it."""
+def symbols_on_races_page(page: str) -> set[Symbol]:
+    """Return the functions, constants and tests in docs/races.md, each with the path that precedes it."""
     symbols: set[Symbol] = set()
     for line in page.splitlines():
         cells = line.strip("|").split("|")
@@ -106,13 +108,16 @@
 
 
 def source_file(path: str) -> Path | None:
-    """The file that docs/races.md means by a path: one of the package, of the tests, or from the root."""
+    """Return the file to which a path in docs/races.md refers, or None if there is no such file.
+
+    The path is taken as relative to load_balancer, then to tests, then to the root of the repository.
+    """
     candidates = (ROOT / "load_balancer" / path, ROOT / "tests" / path, ROOT / path)
     return next((candidate for candidate in candidates if candidate.is_file()), None)
 
 
 def defined_names(source: Path) -> set[str]:
-    """The names of a file's top level and of its classes, or the keys of a TOML file."""
+    """Return the names that a Python file defines at top level and in classes, or the keys of a TOML file."""
     if source.suffix == ".toml":
         return set(re.findall(r"^(\w+) *=", source.read_text(), re.M))
     tree = ast.parse(source.read_text())
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""A pytest plugin that passes over the tests listed in a file of known failures, and prints them.
+"""A pytest plugin that deselects the tests listed in a file of known failures, and prints them.
 
     python -m pytest --known-red=KNOWN-RED.txt
 
-A line of the file is ``test, cause, issue``, where the test is its full node id.  Without the option, or
-where the file does not exist, every test runs.
+Each line of the file has the form ``test, cause, issue``, where ``test`` is the full node id of the test.
+Without the option, or if the file does not exist, every test runs.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """A test that fails for a real fault.
+    """A test that is known to fail because of a fault in the code.
 
     Attributes:
         test: the full node id of the test.
-        cause: why it fails.
-        issue: where the fault is recorded.
+        cause: the reason why the test fails.
+        issue: the issue that records the fault, such as ``#12``.
     """
 
     test: str
@@ -33,16 +33,16 @@
 
 
 def read_known_failures(path: Path) -> list[KnownFailure]:
-    """The entries of the file, none where it does not exist.
+    """Return the entries of the file, or an empty list if the file does not exist.
 
     Raises:
-        pytest.UsageError: a line lacks one of its parts, or there are more entries than allowed.
+        pytest.UsageError: a line lacks one of its parts, or the file has more than MAX_ENTRIES entries.
     """
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
     if len(lines) > MAX_ENTRIES:
-        raise pytest.UsageError(f"{path}: {len(lines)} entries, {MAX_ENTRIES} at most are allowed")
+        raise pytest.UsageError(f"{path}: {len(lines)} entries, but at most {MAX_ENTRIES} are allowed")
     return [_parse_line(path, line) for line in lines]
 
 
@@ -50,7 +50,7 @@
     test, _, rest = line.partition(SEPARATOR)
     cause, _, issue = rest.rpartition(SEPARATOR)
     if not (test.strip() and cause.strip() and issue.strip()):
-        raise pytest.UsageError(f"{path}: not 'test, cause, issue': {line}")
+        raise pytest.UsageError(f"{path}: line is not of the form 'test, cause, issue': {line}")
     return KnownFailure(test.strip(), cause.strip(), issue.strip())
 
 
@@ -60,16 +60,22 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Add the option that names the file."""
-    parser.addoption("--known-red", type=Path, help="file of known failures to pass over and print")
+    """Add the command-line option for the file of known failures."""
+    parser.addoption(
+        "--known-red", type=Path, help="file of known failures, which are deselected and printed"
+    )
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Deselect exactly the listed tests; an entry that names no collected test is an error."""
+    """Deselect exactly the listed tests.
+
+    Raises:
+        pytest.UsageError: an entry names a test that was not collected.
+    """
     known = {failure.test for failure in _configured_failures(config)}
     unknown = known - {item.nodeid for item in items}
     if unknown:
-        raise pytest.UsageError(f"known failures that name no test: {sorted(unknown)}")
+        raise pytest.UsageError(f"listed tests were not collected: {sorted(unknown)}")
     deselected = [item for item in items if item.nodeid in known]
     if deselected:
         config.hook.pytest_deselected(items=deselected)
@@ -77,6 +83,6 @@
 
 
 def pytest_report_collectionfinish(config: pytest.Config) -> list[str]:
-    """Print the entries, so that no run hides them."""
+    """Return a report line for each known failure, so that every run shows them."""
     failures = _configured_failures(config)
     return [f"KNOWN RED {failure.test}: {failure.cause} ({failure.issue})" for failure in failures]
--- a/tests/log_event_names.py
+++ b/tests/log_event_names.py
@@ -1,7 +1,7 @@
-"""Reads the names of log events from the source of a package.
+"""Read the names of log events from the source code of a package.
 
-A log line begins with the name of its event.  The names stand in the calls of a module's logger, and in the
-log events of the policy, which its host writes at INFO.
+Each log line begins with the name of its event.  The names are string constants in the calls of a module's
+logger, and in the LogEvent actions of the policy, which the policy's host logs at level INFO.
 """
 
 from __future__ import annotations
@@ -20,11 +20,12 @@
     "critical": "CRITICAL",
 }
 POLICY_LEVEL = "INFO"
-FORWARDED_TEXT = "%s"  # the whole line is an action of the policy, whose name is read where it is made
+# A log line that consists of one LogEvent; the name is read where the LogEvent is constructed.
+FORWARDED_TEXT = "%s"
 
 
 class UnreadableEventError(Exception):
-    """A call that logs an event whose name does not stand in the source; the text says where."""
+    """The name of a logged event is not a constant in the source; the message names the line."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -32,8 +33,8 @@
     """The name of a log event.
 
     Attributes:
-        name: the first word of its lines.
-        level: the level at which they are written.
+        name: the first word of the event's log lines.
+        level: the level at which these lines are logged.
     """
 
     name: str
@@ -42,17 +43,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _LogCall:
-    """A call that makes a log line; its text begins with the name of the event."""
+    """A call that logs an event.
+
+    Attributes:
+        text: the expression of the log line, or of the event name with which the line begins.
+        level: the level at which the line is logged.
+    """
 
     text: ast.expr
     level: str
 
 
 def log_events_of_package(package: Path) -> set[LogEventName]:
-    """All log events of the modules below a folder.
+    """Return all log events of the modules in a folder and its subfolders.
 
     Raises:
-        UnreadableEventError: the name of an event cannot be read from the source.
+        UnreadableEventError: the name of an event is not a constant in the source code.
     """
     events: set[LogEventName] = set()
     for module in sorted(package.rglob("*.py")):
@@ -64,10 +70,10 @@
 
 
 def log_events_of_source(source: str) -> set[LogEventName]:
-    """All log events of one module.
+    """Return all log events of one module.
 
     Raises:
-        UnreadableEventError: the name of an event cannot be read from the source.
+        UnreadableEventError: the name of an event is not a constant in the source code.
     """
     tree = ast.parse(source)
     events: set[LogEventName] = set()
@@ -79,7 +85,7 @@
 
 
 def _log_calls(scope: ast.AST) -> Iterator[_LogCall]:
-    """The calls that log, in a function or on a module's top level; not those of functions within it."""
+    """Yield the logging calls in a function or at a module's top level, except calls in nested functions."""
     for node in _nodes_of_scope(scope):
         if not isinstance(node, ast.Call):
             continue
@@ -94,7 +100,7 @@
 
 
 def _level_of_function(function: ast.expr) -> str | None:
-    """The level at which a function logs, or None for one that does not log."""
+    """Return the level at which a function logs, or None if the function does not log."""
     match function:
         case ast.Name(id="LogEvent") | ast.Attribute(attr="LogEvent"):
             return POLICY_LEVEL
@@ -116,21 +122,24 @@
 
 
 def _events_of_call(call: _LogCall, scope: ast.AST, module: ast.Module) -> set[LogEventName]:
-    if _passes_name_on(scope) and isinstance(call.text, ast.Name):
+    if _logs_its_argument(scope) and isinstance(call.text, ast.Name):
         return set()
     texts = _possible_texts(call.text, scope) or _possible_texts(call.text, module)
     if not texts:
-        raise UnreadableEventError(f"{call.text.lineno}: the name of the event is not readable")
+        raise UnreadableEventError(f"{call.text.lineno}: the name of the event is not a constant")
     return {LogEventName(text.split(" ")[0], call.level) for text in texts if text != FORWARDED_TEXT}
 
 
-def _passes_name_on(scope: ast.AST) -> bool:
-    """Whether a function logs what it is given; its names are read where it is called."""
+def _logs_its_argument(scope: ast.AST) -> bool:
+    """Check whether a function is a log method, whose callers pass the event name as an argument."""
     return isinstance(scope, ast.FunctionDef) and scope.name == "log"
 
 
 def _possible_texts(expression: ast.expr, scope: ast.AST) -> set[str]:
-    """The texts that an expression can have: constants, choices, and variables that hold either."""
+    """Return the strings to which an expression can evaluate.
+
+    Supported are constants, conditional expressions, and variables to which the scope assigns one of these.
+    """
     match expression:
         case ast.Constant(value=str(text)):
             return {text}
@@ -144,7 +153,7 @@
 
 
 def _assignments(scope: ast.AST) -> Iterator[tuple[str, ast.expr]]:
-    """The names that a scope assigns to, each with the expression that it is given."""
+    """Yield each name that a scope assigns, with the assigned expression."""
     for node in _nodes_of_scope(scope):
         if not isinstance(node, ast.Assign):
             continue
@@ -154,7 +163,7 @@
                     yield name, value
                 case ast.Tuple(elts=targets), ast.Tuple(elts=values):
                     yield from (
-                        (one.id, value)
-                        for one, value in zip(targets, values, strict=True)
-                        if isinstance(one, ast.Name)
+                        (element.id, value)
+                        for element, value in zip(targets, values, strict=True)
+                        if isinstance(element, ast.Name)
                     )
--- a/tests/test_adapter_protocol.py
+++ b/tests/test_adapter_protocol.py
@@ -1,4 +1,4 @@
-"""The tools read reply frames strictly."""
+"""Tests that the tools reject malformed reply frames."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 @pytest.mark.parametrize(
     "output",
     [
-        pytest.param(FRAME[:5], id="ends inside the header"),
-        pytest.param(FRAME[:-1], id="ends inside a record"),
-        pytest.param(b"\x01" + FRAME[1:], id="bytes behind the last record"),
-        pytest.param(b"\x03" + FRAME[1:], id="a record is missing"),
+        pytest.param(FRAME[:5], id="output ends inside the header"),
+        pytest.param(FRAME[:-1], id="output ends inside a record"),
+        pytest.param(b"\x01" + FRAME[1:], id="more records than announced"),
+        pytest.param(b"\x03" + FRAME[1:], id="fewer records than announced"),
         pytest.param(FRAME[:9] + b"\x08" + FRAME[10:], id="a record is longer than the frame"),
     ],
 )
-def test_frame_that_does_not_fit_its_header_is_an_error(output: bytes) -> None:
+def test_frame_that_does_not_match_its_header_is_an_error(output: bytes) -> None:
     with pytest.raises(ReplyError):
         list(read_replies(output))
 
 
-def test_surplus_behind_a_compared_reply_is_an_error() -> None:
+def test_second_frame_after_a_compared_reply_is_an_error() -> None:
     with pytest.raises(ReplyError):
         comparable_actions(FRAME + EMPTY_FRAME)
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""The log events of the code are those of docs/operations.md, and their names have one form."""
+"""Tests that docs/operations.md lists the log events of the code, and that event names have one form."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
 
 def test_event_names_are_subject_and_past_participle() -> None:
     names = {event.name for event in log_events_of_package(ROOT / "load_balancer")}
-    otherwise_formed = sorted(name for name in names if not SUBJECT_AND_PARTICIPLE.fullmatch(name))
-    assert names and not otherwise_formed
+    malformed = sorted(name for name in names if not SUBJECT_AND_PARTICIPLE.fullmatch(name))
+    assert names and not malformed
 
 
-def test_names_are_read_from_every_kind_of_call() -> None:
+def test_event_names_are_read_from_every_kind_of_logging_call() -> None:
     assert log_events_of_source(SAMPLE) == {
         LogEventName("endpoint_lost", "WARNING"),
         LogEventName("request_failed", "ERROR"),
@@ -60,6 +60,6 @@
     }
 
 
-def test_event_whose_name_is_not_in_the_source_is_an_error() -> None:
+def test_event_name_that_is_not_a_constant_is_an_error() -> None:
     with pytest.raises(UnreadableEventError, match="2: "):
         log_events_of_source("def report():\n    log.info(describe())\n")
--- a/tests/test_logging_setup.py
+++ b/tests/test_logging_setup.py
@@ -1,4 +1,4 @@
-"""The rate limit on log lines."""
+"""Test of the rate limit on log lines."""
 
 from __future__ import annotations
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""Test that the Python example in README.md runs and selects one of its endpoints."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 
-def test_readme_example_runs_as_printed() -> None:
+def test_readme_example_runs_and_sends_the_request() -> None:
     readme = (Path(__file__).parent.parent / "README.md").read_text()
     examples = re.findall(r"```python\n(.*?)```", readme, re.S)
     assert len(examples) == 1
