--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -19,7 +19,7 @@
 
 
 class _PushingDiscovery:
-    """A stub discovery service that pushes the same endpoint list once on each watch that the node opens.
+    """Pushes the same endpoint list once on each watch that the node opens at a stub discovery service.
 
     Attributes:
         watches: all watches that the node has opened so far, in order.
