--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -57,7 +57,7 @@
 
 
 class TenantQuotas:
-    """A token bucket for each tenant, which holds the quota of one second.
+    """A token bucket for each tenant, which holds this node's part of the tenant's quota of one second.
 
     Inner tiers have no buckets and admit every request, as the quotas apply to the first tier only.
     """
@@ -69,6 +69,6 @@
     def admits(self, tenant: int, now: float) -> bool:
         """Count a request against its tenant's quota and return whether it is within the quota.
 
-        A request of an unknown tenant has no quota and is always admitted.
+        Requests of an unknown tenant, or of a tenant whose quota is 0, are always within the quota.
         """
         return not 0 <= tenant < len(self._buckets) or self._buckets[tenant].take(now)
--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -21,13 +21,15 @@
 
     Attributes:
         alpha: the minimum smoothing factor; with it an average spans about seven responses of its endpoint.
-        alpha_per_node: the smoothing factor divided by the number of nodes, between alpha and max_alpha.
+        alpha_per_node: the factor by which the number of nodes is multiplied to get the smoothing factor,
+            which is limited to the range from alpha to max_alpha.
         max_alpha: the maximum smoothing factor; with it an average still spans two responses.
         theta_times_r: the minimum of theta, multiplied by r.  At this value, and with the floor, the random
             walk of the shares of equally fast endpoints stays below a sixth of a share.
-        theta_times_r_per_node: theta multiplied by r and divided by the number of nodes.  It keeps the sum of
-            the shares over all nodes as steady as theta_times_r keeps the sum over three nodes.  For the
-            shares of machine types the number of types replaces r.
+        theta_times_r_per_node: theta multiplied by r and divided by the number of nodes, if this gives a
+            larger theta than theta_times_r.  It keeps the sum of the shares over all nodes as steady as
+            theta_times_r keeps the sum over three nodes.  For the shares of machine types the number of types
+            replaces r.
         max_theta_per_alpha: the maximum ratio of theta to alpha, because the averages must adapt well before
             the shares of endpoints do.
         max_type_theta_per_alpha: the maximum ratio of theta_type to alpha.  It is larger, because the share
@@ -35,8 +37,8 @@
         floor_times_r: p_min multiplied by r; the floor also evens out the shares of equally fast endpoints.
         new_endpoint_shares: the initial share of a new endpoint, as a multiple of the mean share; slow start
             limits its load further.
-        max_failure_means: the maximum latency that a failure adds to an average, as a multiple of the mean of
-            all averages.
+        max_failure_means: the maximum latency with which a failure enters an average, as a multiple of the
+            mean of all averages.
     """
 
     alpha: float = 0.15
@@ -79,7 +81,11 @@
         self._index: dict[EndpointId, int] = {}
 
     def mean(self) -> float | None:
-        """Return the mean of all latency averages, the payoff threshold; None before the first response."""
+        """Return the mean of all latency averages; None before the first response.
+
+        The mean is the payoff threshold: a response with a lower latency is a payoff, which raises the share
+        of its endpoint.
+        """
         known = [a for a in self.latency_averages if a is not None]
         return sum(known) / len(known) if known else None
 
@@ -102,7 +108,8 @@
         """Update the average of an endpoint from a response, and the vector if the response was a payoff.
 
         Returns:
-            Whether the response was a payoff: whether its latency was below the mean of all averages.
+            Whether the response was a payoff: whether its latency was below the mean of all averages, and its
+            endpoint is still in the vector.
         """
         i = self._index.get(endpoint_id)
         if i is None:
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer of one node, which passes each event to the components of the policy that decide on it.
+"""The balancer of one node, which passes each event to the components of the policy that handle it.
 
 No other module sends attempts or answers requests.  A two-time-scale learning automaton normally chooses the
 endpoint of an attempt; docs/design.md lists the exceptions.  The policy reads neither a clock nor a global
@@ -74,7 +74,8 @@
             now: the time of the event in milliseconds, on the host's clock.
 
         Raises:
-            UnexpectedEventError: the event names a request, attempt or class that never existed.
+            UnexpectedEventError: the event refers to an attempt that is not in flight or to an unknown class,
+                or it reports the arrival of a request that has arrived before and is not answered yet.
         """
         self.context.begin_event(now)
         match event:
@@ -203,7 +204,7 @@
         while skipped < len(queue) and skipped < QUEUE_SCAN_LIMIT:
             request = queue[skipped]
             if not self.concurrency.admits(request):
-                break  # a request of lower priority must not overtake through a lower random admission draw
+                break  # no request of lower priority may overtake this one because of its admission draw
             if not self._dispatch(request, final_attempt=False):
                 skipped += 1
         queue.schedule_check()
--- a/load_balancer/policy/circuit_breakers.py
+++ b/load_balancer/policy/circuit_breakers.py
@@ -1,4 +1,4 @@
-"""Circuit breakers, which exclude an endpoint from one class of requests when it fails that class."""
+"""Circuit breakers, which exclude an endpoint from one class of requests when such requests fail there."""
 
 import math
 from typing import NamedTuple
@@ -45,7 +45,8 @@
     """The failures of one class at the peers of an endpoint, which are all other listed endpoints.
 
     Attributes:
-        rate: the mean failure rate of the peers; peers that do not admit the class count as 0.
+        rate: the mean failure rate of the peers, in which peers that do not admit the class count with a rate
+            of 0; 1 if there are no peers.
         long_term_rate: the mean long-term failure rate of the peers that admit the class.
         excluded: the number of peers that do not admit the class.
         endpoint_count: the number of all listed endpoints, including the endpoint itself.
@@ -60,8 +61,9 @@
         """Return whether the breaker of an endpoint with this failure rate may open.
 
         The endpoint must fail more often than its peers, and the number of excluded endpoints must stay below
-        its maximum.  An error may also be caused by an inner tier: the more often the peers fail over the
-        long term, the longer the run of errors that opens a breaker.
+        its maximum.  An error may also be caused by an inner tier, which the peers depend on as well.
+        Therefore, the more often the peers fail over the long term, the longer a run of errors must be to
+        open a breaker.
         """
         return (
             failure_rate >= max(FAILURES.min_rate, _rate_of_improbable_run(self.long_term_rate))
@@ -135,8 +137,8 @@
         breaker, request_class = record.breakers[class_index], self._context.settings.classes[class_index]
         # A failed trial of a non-idempotent class loses a request, so these trials are always far apart.
         non_idempotent = request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        repetitions = PAUSES.max_doublings if non_idempotent else breaker.consecutive_openings
-        pause_ms = draw_pause_ms(self._context, repetitions)
+        doublings = PAUSES.max_doublings if non_idempotent else breaker.consecutive_openings
+        pause_ms = draw_pause_ms(self._context, doublings)
         self._context.log(
             "circuit_breaker_opened",
             endpoint=record.endpoint.id,
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -17,14 +17,14 @@
     latencies compare with their targets.
 
     Attributes:
-        initial_per_server: the attempts in flight per warm server's worth of capacity, both at the start and
-            as the bound while few attempts are in service.  A server with more attempts waiting becomes slow.
-            The value is for two tiers: with more tiers a server also holds the attempts that wait for the
-            tiers behind it.
-        in_service_margin: the bound per attempt in service, that is, not waiting in a queue.  It applies if
-            responses inherently take long.
-        reference_tiers: the number of remaining tiers at which the depth factor, by which both bounds are
-            multiplied, is 1.
+        initial_per_server: the number of attempts in flight per warm server's worth of capacity.  It applies
+            at the start and while few attempts are in service.  A server with more attempts waiting becomes
+            slow.  The value is for two tiers: with more tiers a server also holds the attempts that wait for
+            the tiers behind it.
+        in_service_margin: the capacity bound as a multiple of the attempts in service, which are the attempts
+            that do not wait in a queue.  It applies if responses take long even without queueing.
+        reference_tiers: the number of remaining tiers up to which the depth factor is 1.  The two values
+            above are multiplied by this factor; with more tiers it grows in proportion to their number.
     """
 
     initial_per_server: float = 6.0
@@ -108,8 +108,8 @@
 
         The bound reflects a new endpoint list at once, while latencies show the effect of removed or warming
         servers only seconds later.  By Little's law, the number of attempts in service is the rate of
-        responses multiplied by the latency without queueing; if responses inherently take long, this
-        number exceeds the initial limit.
+        responses multiplied by the latency without queueing.  If responses take long even without queueing,
+        this number exceeds the initial limit.
         """
         monitor = self._monitor
         baseline = monitor.baseline_latency
@@ -181,7 +181,8 @@
     def _grow(self) -> None:
         """Raise the limit, at most to the attempts that sustain the peak rate of responses by Little's law.
 
-        More attempts in flight would only wait in queues, which latencies show late.
+        More attempts in flight would only wait in queues, and latencies would show these queues late.  Until
+        the baseline latency is known, the limit rises to the capacity bound instead.
         """
         monitor = self._monitor
         if not monitor.baseline_known():
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -17,7 +17,7 @@
         target_ratio: the target of the mean latency ratio at the first tier; it is lower at inner tiers.
         target_baseline_multiple: the minimum of the target, as a multiple of the baseline ratio.  It applies
             if the objective leaves little margin above the baseline.
-        max_ratio: the maximum with which a single late response enters the mean latency ratio.
+        max_ratio: the maximum latency ratio with which a single late response enters the mean.
         max_baseline_multiple: the bound of the mean latency, as a multiple of the baseline latency.
         sparse_max_baseline_multiple: the bound that replaces max_baseline_multiple when the averages span the
             fewest responses.
@@ -137,7 +137,8 @@
         self._response_count += 1
         cumulative_factor = 1.0 / self._response_count
         self.mean_latency += max(self._smoothing_factor, cumulative_factor) * (latency - self.mean_latency)
-        # The lowest value of a short average is far below the true mean, so the baseline uses a longer one.
+        # The lowest value of a short average is far below the true mean, so the baseline uses a longer
+        # average.
         mean = self._long_mean_latency
         mean += max(AVERAGING.min_factor, cumulative_factor) * (latency - mean)
         self._long_mean_latency = mean
--- a/load_balancer/policy/endpoint_limits.py
+++ b/load_balancer/policy/endpoint_limits.py
@@ -1,4 +1,4 @@
-"""The concurrency limit of each endpoint, adjusted by the attempts that the endpoint rejects and serves."""
+"""The concurrency limit of each endpoint, which rejected attempts lower and served attempts raise."""
 
 from typing import NamedTuple
 
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -19,7 +19,8 @@
 POLL_BACKOFF_MAX_MS = MAX_NOTIFICATION_DELAY_MS / 6
 """The longest backoff between polls, in milliseconds.
 
-Within MAX_NOTIFICATION_DELAY_MS two polls may fail, each followed by its timeout and its backoff.
+With this value, two polls may fail within MAX_NOTIFICATION_DELAY_MS: the timeout of a poll is at most twice
+the longest backoff, so that timeout and backoff together take at most half of that delay.
 """
 
 MIN_ENDPOINT_WEIGHT = 1e-3
@@ -94,7 +95,7 @@
         self._poll_at = math.inf
         if not self._subscribed:
             context.actions.append(PollEndpointList())
-            # The timeout is bounded like the backoff, so that both fit into MAX_NOTIFICATION_DELAY_MS twice.
+            # This bound lets two timeouts and two backoffs fit into MAX_NOTIFICATION_DELAY_MS.
             timeout_ms = min(POLL.response_timeout * context.settings.poll_within_ms, 2 * POLL_BACKOFF_MAX_MS)
             self._schedule_poll(timeout_ms)
 
--- a/load_balancer/policy/failure_detection.py
+++ b/load_balancer/policy/failure_detection.py
@@ -70,9 +70,14 @@
     return excluded + 1 <= max(1.0, max_fraction * count)
 
 
-def draw_pause_ms(context: NodeContext, repetitions: int) -> float:
-    """Return the random duration of a pause in milliseconds, after this number of earlier pauses."""
-    units = min(PAUSES.max_units, PAUSES.first_units * 2.0 ** min(repetitions, PAUSES.max_doublings))
+def draw_pause_ms(context: NodeContext, doublings: int) -> float:
+    """Return the random duration of a pause in milliseconds.
+
+    Args:
+        context: the context of the node.
+        doublings: the number of times that the first pause is doubled, usually the number of earlier pauses.
+    """
+    units = min(PAUSES.max_units, PAUSES.first_units * 2.0 ** min(doublings, PAUSES.max_doublings))
     warm_up_ms = context.settings.warm_up_ms or PAUSES.default_unit_ms
     unit_ms = max(warm_up_ms, PAUSES.min_unit_objectives * context.objective_ms)
     return units * unit_ms * (PAUSES.jitter_min + PAUSES.jitter_range * context.rng.random())
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -13,7 +13,7 @@
 from load_balancer.state.request_records import Attempt, Request
 
 LATE_COOLDOWN_FACTOR = 2.0
-"""The cooldown of an endpoint that sent no response during a late attempt, as a multiple of its duration."""
+"""The cooldown of an endpoint that sent no response during a late attempt, in durations of the attempt."""
 
 COST_HINT_WEIGHT = 0.5
 """The fraction of a latency that is proportional to the work that the request's cost hint predicts."""
@@ -54,13 +54,14 @@
         Args:
             attempt: the attempt.
             event: the event that reports its outcome.
-            request: the request of the attempt; None if it has already received its final answer.
+            request: the request of the attempt; None if it needed no answer any more when the attempt ended.
         """
         record, outcome, elapsed_ms = attempt.record, event.outcome, event.elapsed_ms
         timeout_ms = self._monitor.latency.attempt_timeout()
         since_response_ms = self._context.now - record.last_response_at
         if elapsed_ms > timeout_ms and since_response_ms >= elapsed_ms:
-            # The averages need seven responses, which take most of a minute if requests are few.
+            # Skip the endpoint at once: the latency averages show that it is slow only after about seven
+            # responses, which take most of a minute if requests are few.
             self._outliers.cool_down_if_replaceable(record, LATE_COOLDOWN_FACTOR * elapsed_ms)
         if outcome is Outcome.OK:
             self._record_success(attempt, elapsed_ms, request)
@@ -73,7 +74,8 @@
         elif outcome is Outcome.CLIENT_ERROR:
             self.record_response(record)  # the request is the cause, neither the server nor the load
         elif outcome in _TIMEOUT_OR_CANCELLED and request is not None:
-            # If the request is None, the attempt was cancelled because another attempt responded first.
+            # If the request is None, the attempt was not needed any more, for example because another attempt
+            # responded first.
             self._record_timeout(attempt, outcome, elapsed_ms, request)
 
     def record_response(self, record: EndpointRecord) -> None:
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -50,7 +50,10 @@
             outlier.consecutive_ejections = 0
 
     def record_failure(self, record: EndpointRecord, outcome: Outcome) -> None:
-        """Record a failure, which may eject its endpoint unless the peers fail as well."""
+        """Record a failure, which may eject its endpoint unless the peers fail as well.
+
+        A failure of an endpoint on trial always ejects it.
+        """
         outlier = record.outlier
         malformed = outcome is Outcome.MALFORMED_RESPONSE
         factor = FAILURES.malformed_smoothing_factor if malformed else FAILURES.smoothing_factor
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -41,8 +41,9 @@
 def permits(context: NodeContext, request: Request, record: EndpointRecord) -> bool:
     """Return whether the endpoint is listed and the request's class allows an attempt there.
 
-    The first attempt is allowed at every listed endpoint.  Once an earlier attempt may have been executed,
-    the class must allow a second execution at this endpoint.
+    Every listed endpoint is allowed until an attempt of the request may have been executed.  From then on,
+    the class must allow a second execution at this endpoint.  While an attempt is in flight, the settings
+    must also allow hedging.
     """
     first = request.first_possible_run()
     if first is None or not record.listed:
@@ -115,9 +116,9 @@
     def candidates(self, request: Request, final_attempt: bool) -> list[int]:
         """Return the indices of the endpoints from which the next attempt's endpoint is drawn.
 
-        Health is ignored for a final attempt, and if so many endpoints are unhealthy that the cause must be
-        common to all.  Circuit breakers always apply: behind an open circuit breaker the attempt would most
-        likely fail, while a rejection of the request is harmless.
+        The health and the limits of endpoints are ignored for a final attempt, and if so many endpoints are
+        unhealthy that the cause must be common to all.  Circuit breakers always apply: behind an open circuit
+        breaker the attempt would most likely fail, while a rejection of the request is harmless.
         """
         allowed, excluded = self._allowed(request)
         usable = allowed
@@ -195,9 +196,9 @@
             if outlier.cooldown_until > now or in_flight + 1 > record.concurrency.limit:
                 continue
             average = averages[i]
-            # By Little's law this fraction of the attempts waits at the server.  A server that has been
-            # overloaded for long stays slow for long, and its own average shows this before the mean of all
-            # averages does.
+            # By Little's law, the fraction 1 - baseline / average of the attempts waits at the server.  A
+            # server that has been overloaded for long stays slow for long, and its own average shows this
+            # before the mean of all averages does.
             if average and in_flight * (1.0 - baseline / average) > max_waiting:
                 continue
             share = p[i] * mean / average if average and average > mean else p[i]
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -13,9 +13,9 @@
     Attributes:
         margin: the rate of work, relative to a warm server's rate, divided by the server's capacity fraction.
             It exceeds 1, because the settings give the minimum capacity of any server, while most servers
-            have half as much again.
-        max_overload_fraction: the maximum of the margin, as a fraction of the multiple of its capacity at
-            which a server that is warming up fails.
+            have one and a half times this capacity.
+        max_overload_fraction: the maximum of the margin, as a fraction of overload_multiple, which is the
+            load, in multiples of its capacity, above which a server that is warming up fails.
         default_span_ms: the time over which the answered work is averaged if no warm-up time is set, in
             milliseconds.
     """
@@ -38,7 +38,8 @@
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         settings = context.settings
-        # Answered work is used instead of sent work, which overloads the remaining servers when others fail.
+        # Answered work is used instead of sent work, because sent work may exceed what warm servers sustain:
+        # when servers fail, their work is sent to the remaining servers and overloads them.
         self._answered_work = DecayingRate(
             settings.warm_up_ms or PARAMETERS.default_span_ms, settings.overload_window_ms
         )
@@ -116,8 +117,9 @@
         """Update the budget of a server that is warming up, and return whether it may get an attempt.
 
         Each node limits its own attempts without knowledge of the other nodes.  Together the nodes send the
-        server the same fraction of the work that a warm server sustains, multiplied by the margin.  The
-        difference from the multiple at which the server fails is left for chance and for heavy requests.
+        server its capacity fraction of the work that a warm server sustains, multiplied by the margin.  The
+        margin stays below the overload_multiple above which the server fails, because the number of attempts
+        varies at random and some requests are heavy.
 
         Args:
             record: the record of the server.
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -19,8 +19,8 @@
     Attributes:
         min_local: the minimum number of usable endpoints in the subset or zone; with fewer, a node also uses
             other endpoints.
-        size: the minimum number of endpoints in a subset, which has up to twice as many.  With this size a
-            choice remains even if half of the endpoints in a subset fail.
+        size: the minimum number of endpoints in a subset, which has up to twice as many.  With this size,
+            several endpoints remain to choose from even if half of the endpoints in a subset fail.
         min_nodes: the minimum number of nodes that share each endpoint, so that the random walks of their
             probability vectors cancel out.
     """
@@ -64,10 +64,10 @@
     def update(self) -> None:
         """Choose the subset from a new endpoint list.
 
-        If only few nodes share the endpoints, the subset contains all of them, or all of the node's zone if
-        attempts in other zones have a cost.  Without subsets, each of many nodes would rarely send to the
-        same endpoint again and therefore learn little, and the number of connections would grow with the
-        product of nodes and endpoints.
+        If there are only few nodes or few endpoints, the subset contains all endpoints, or all endpoints of
+        the node's zone if attempts in other zones have a cost.  Without subsets, each of many nodes would
+        rarely send to the same endpoint again and therefore learn little, and the number of connections would
+        grow with the product of nodes and endpoints.
         """
         settings, records = self._context.settings, self._context.endpoints.selectable
         local = [r for r in records if not settings.cross_zone_cost or r.endpoint.zone == settings.zone]
