--- a/load_balancer/actions.py
+++ b/load_balancer/actions.py
@@ -1,6 +1,6 @@
-"""The actions that the policy asks its host to carry out, in order.
+"""The actions that the policy asks its host to carry out, in the order in which it returns them.
 
-Times are in milliseconds on the host's clock.
+The host is the program around the policy, for example a node.  Times are in milliseconds on the host's clock.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Answer a request that is not served and that the client may safely retry.
+    """Give the final answer to a request that is not served and that the client may safely retry.
 
     If retry_after_ms is 0, the answer has no Retry-After.
     """
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Answer a request that is not served but may have been executed."""
+    """Give the final answer to a request that is not served but may have been executed."""
 
     request_id: RequestId
     reason: FinishReason = FinishReason.UNKNOWN
--- a/load_balancer/estimation/latency.py
+++ b/load_balancer/estimation/latency.py
@@ -13,7 +13,7 @@
 """The timeout is the mean plus this many mean deviations, as for TCP's retransmission timeout."""
 
 MIN_TIMEOUT_MEANS = 2.0
-"""The minimum of the timeout, in means.
+"""The minimum of the timeout, as a multiple of the mean latency.
 
 It applies to latencies that hardly vary, for which the mean deviation is close to 0.
 """
--- a/load_balancer/estimation/probability.py
+++ b/load_balancer/estimation/probability.py
@@ -6,7 +6,9 @@
 
 
 def apply_floor(ratios: Sequence[float], floor: float) -> list[float]:
-    """Return probabilities that sum to 1, are at least the floor and keep the ratios above the floor.
+    """Return probabilities that sum to 1 and are at least the floor.
+
+    The probabilities above the floor keep their ratios.
 
     Args:
         ratios: the ratios of the probabilities; they need not sum to 1.
--- a/load_balancer/estimation/rates.py
+++ b/load_balancer/estimation/rates.py
@@ -18,7 +18,7 @@
 
     def __init__(self, time_constant_ms: float, min_span_ms: float = 1.0) -> None:
         self.time_constant_ms = time_constant_ms
-        # Units that arrive within a shorter time than this count as spread over this time.
+        # Until this time has passed since the first units, all units count as spread over this time.
         self._min_span_ms = min_span_ms
         self._started_at: float | None = None
         self._count = 0.0
--- a/load_balancer/events.py
+++ b/load_balancer/events.py
@@ -1,7 +1,8 @@
 """The events that a host passes to the policy.
 
-Times are in milliseconds on the host's clock, which never goes backwards.  Endpoint ids are opaque bytes and
-request ids are opaque numbers; the policy returns both unchanged in its actions.
+The host is the program around the policy, for example a node.  Times are in milliseconds on the host's
+clock, which never goes backwards.  Endpoint ids are opaque bytes and request ids are opaque numbers; the
+policy returns both unchanged in its actions.
 """
 
 from __future__ import annotations
@@ -14,7 +15,11 @@
 
 
 class UnexpectedEventError(ValueError):
-    """An event refers to a request, attempt or class that never existed, which is a fault of the host."""
+    """An event contradicts earlier events or the settings, which is a fault of the host.
+
+    The event refers to an attempt that is not in flight or to an unknown class, or it reports the arrival of
+    a request that has arrived before and is not answered yet.
+    """
 
 
 class EndpointState(Enum):
@@ -57,9 +62,9 @@
     """The attempt was abandoned before any part of it was written to a server."""
 
     MALFORMED_RESPONSE = "malformed_response"
-    """The response was not valid: the request may have been executed.
+    """The response was not valid, although the request may have been executed.
 
-    Such a response says little about the health of its server.
+    A malformed response says little about the health of its server.
     """
 
     CLIENT_ERROR = "client_error"
@@ -67,7 +72,7 @@
 
 
 NOT_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-"""The outcomes that prove that an attempt was never executed."""
+"""The outcomes that prove that no server executed the attempt."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +86,7 @@
         machine_type: the machine type of the server, by position in the settings.
         zone: the zone of the server, by position in the settings.
         cell: the group of servers that share the idempotency keys they have seen.
-        started_ms: the time when the server's process last started, 0 if that was long ago.
+        started_ms: the time when the server's process last started, 0 if it started long ago.
     """
 
     id: EndpointId
@@ -95,7 +100,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A change of the endpoint list; an endpoint absent from a complete list has been removed."""
+    """The endpoint list or a part of it, or the failure to obtain it, depending on the kind.
+
+    An endpoint that is absent from a complete list has been removed.
+    """
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -111,7 +119,7 @@
         class_index: the class of the request, by position in the settings.
         budget_ms: the time left until the request's deadline.
         tenant: the tenant of the request, by position in the settings.
-        key: a hash of the item that the request reads or changes, 0 for none.
+        key: a hash of the item that the request reads or changes, 0 if there is no such item.
         cost_hint_ms: the client's estimate of the request's work, None if there is no estimate.
         is_retry: whether the client marked the request as a retry of an earlier request.
         is_write: whether the request changes the item.
@@ -129,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The start of a streamed response, from which on its attempt and its request have no time limit."""
+    """The start of a streamed response; from then on its attempt and its request have no time limit."""
 
     request_id: RequestId
     attempt_number: int
@@ -187,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A gossip message from another node of the tier, which the policy ignores."""
+    """A gossip message from another node of the tier; the policy ignores it."""
 
     sender: int
     body: bytes
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -1,8 +1,9 @@
 """The typed settings of one node, and the error for an invalid setting.
 
 Durations are in milliseconds, rates in units per second and capacities in fractions of a warm server's
-capacity, unless the description of a field says otherwise.  Only ``load_balancer.settings_format`` refers to
-the names that the settings have in a configuration file or in the simulator's protocol.
+capacity, unless the description of a field says otherwise.  A warm server is a server whose warm-up time has
+passed.  Only ``load_balancer.settings_format`` refers to the names that the settings have in a configuration
+file or in the simulator's protocol.
 """
 
 from __future__ import annotations
@@ -69,11 +70,11 @@
         latency_objective_ms: the time within which an answer has its full value.
         deadline_ms: the time for which a client waits for an answer.
         priority_weight: the value of an answer within the objective.
-        late_weight: the fraction of that value that a later answer has.
+        late_weight: the fraction of this value that an answer after the objective has.
         idempotency: the effect of a second execution.
         deduplication_scope: the servers that discard a repetition of the same idempotency key.
-        deduplication_window_ms: the time for which these servers remember a key, counted from the first
-            attempt that may have been executed.
+        deduplication_window_ms: the time for which servers remember an idempotency key, counted from the
+            first attempt that may have been executed.
         streaming: whether responses are forwarded while they arrive.
         latency_objective_stretch: the multiple of the request's own work by which the objective grows.
     """
@@ -126,7 +127,7 @@
         tenants: the tenants; events refer to a tenant by its position.
         node_count: the number of nodes of this tier.
         node_index: this node's position among the nodes of this tier.
-        tier_index: the tier that this node forwards to, 0 for the first.
+        tier_index: the tier that this node forwards to; 0 is the first, outermost tier.
         tier_count: the number of tiers.
         zone: this node's zone.
         zone_count: the number of zones.
@@ -135,7 +136,7 @@
         cancel_allowed: whether an attempt may be cancelled.
         health_checks_allowed: whether the node may send health checks to endpoints.
         retry_after_allowed: whether a rejection may carry a Retry-After.
-        max_retry_after_ms: the longest Retry-After that clients observe.
+        max_retry_after_ms: the longest Retry-After that clients comply with.
         priority_by_work: whether the value of a request grows with its work.  If it does not, the priority of
             a request is divided by its work.
         over_quota_weight: the factor by which the priority of a request beyond its tenant's quota is
@@ -149,8 +150,8 @@
             sent.
         initial_capacity: the capacity of a server that has just started, as a fraction of its full capacity.
         warm_up_ms: the longest time until a started server has its full capacity.
-        overload_multiple: the multiple of its capacity above which load makes a server that is warming up
-            fail.
+        overload_multiple: the load above which a server that is warming up fails, as a multiple of its
+            capacity.
         overload_window_ms: the time over which this load is measured.
         connect_timeout_ms: the longest time that establishing a connection may take.
         tick_ms: the shortest time between two batches of events from the host.
--- a/load_balancer/settings_format.py
+++ b/load_balancer/settings_format.py
@@ -85,7 +85,7 @@
         """Return the value ``true`` or ``false`` as a bool; an empty value counts as absent.
 
         Raises:
-            SettingsError: the value is neither.
+            SettingsError: the value is neither ``true`` nor ``false``.
         """
         text = self._values.get(path, "")
         if text == "":
@@ -100,10 +100,10 @@
         return tuple(text.split(",")) if text else ()
 
     def member(self, path: str, enum: type[EnumType], default: str | None = None) -> EnumType:
-        """Return the member of an enum that has this value.
+        """Return the enum member that corresponds to the value at the path.
 
         Raises:
-            SettingsError: the value is absent without a default, or no member has it.
+            SettingsError: the value is absent without a default, or no member of the enum has this value.
         """
         text = self.text(path, default)
         try:
--- a/load_balancer/state/endpoint_records.py
+++ b/load_balancer/state/endpoint_records.py
@@ -31,7 +31,8 @@
         ejected: whether the endpoint is ejected as an outlier.
         on_trial: whether the endpoint has been readmitted and no attempt has succeeded since.
         consecutive_ejections: the number of ejections since the last recovery, which determines the length of
-            the next pause; failed health checks keep it low.
+            the next pause.  A failed health check limits it, so that the pauses between health checks stay
+            short.
         cooldown_until: the time until which the endpoint is skipped.
     """
 
@@ -127,7 +128,10 @@
         return cls(endpoint, [CircuitBreakerState() for _ in range(class_count)], [0] * class_count)
 
     def restart(self, now: float) -> None:
-        """Reset the failures of the endpoint, because a new process has replaced the one that failed."""
+        """Reset the failure state of the endpoint after its server has restarted; the cooldown stays.
+
+        The recorded failures concern the old process, which a new process has replaced.
+        """
         self.outlier = OutlierState(cooldown_until=self.outlier.cooldown_until)
         self.breakers = [CircuitBreakerState() for _ in self.breakers]
         self.last_response_at = now
@@ -148,8 +152,8 @@
     def apply(self, update: EndpointListUpdate, class_count: int, now: float) -> list[EndpointRecord]:
         """Apply an endpoint list and return the records of endpoints that are new or have restarted.
 
-        The record of a removed endpoint is dropped at the first list for which no attempt is in flight there,
-        so that the table does not grow with every id that was ever listed.
+        The record of a removed endpoint is dropped at the first update that arrives when no attempt is in
+        flight at the endpoint.  Otherwise the table would grow with every id that was ever listed.
         """
         started: list[EndpointRecord] = []
         if update.kind is not EndpointListKind.DELTA:
--- a/load_balancer/state/request_records.py
+++ b/load_balancer/state/request_records.py
@@ -83,7 +83,7 @@
     response_started: bool = False
 
     def repeatable(self) -> bool:
-        """Return whether the request's class allows a second execution, if only under conditions."""
+        """Return whether the request's class allows a second execution, at least under some conditions."""
         return self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def repeatable_anywhere(self) -> bool:
--- a/load_balancer/state/timer_queue.py
+++ b/load_balancer/state/timer_queue.py
@@ -64,7 +64,7 @@
             yield heapq.heappop(self._timers)[2]
 
     def wake_up(self) -> SetTimer | None:
-        """Return the wake-up to request, or None if no wake-up or no further wake-up is needed.
+        """Return the wake-up to request, or None if no further wake-up is needed.
 
         A pending wake-up cannot be withdrawn.  When an earlier wake-up is requested, the later one stays
         pending and is not requested again.
