--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -38,8 +38,8 @@
     """Run one node until it is stopped.
 
     Returns:
-        The exit code: 0 after SIGTERM or SIGINT, or 2 if the configuration cannot be used.  Then one line
-        on standard error describes the problem.
+        The exit code: 0 after SIGTERM or SIGINT, or 2 if the configuration cannot be used.  In the
+        latter case, one line on standard error describes the problem.
     """
     # The default action of SIGHUP would end the process.  If a SIGHUP is ignored here,
     # ConfigurationReload.after_start() applies the changed configuration file later.
--- a/load_balancer/proxy/__init__.py
+++ b/load_balancer/proxy/__init__.py
@@ -1,6 +1,7 @@
 """A node that serves real traffic: connects the policy to sockets and leaves all decisions to the policy.
 
-The core consists of the modules in this folder.  In this list, each module imports only modules above it:
+The core consists of the modules in this folder.  Of these modules, each imports only modules that are above
+it in this list:
 
 - address, descriptors: network addresses and the division of the descriptor limit
 - configuration_values, configuration_file, configuration: the configuration that a node starts with
--- a/load_balancer/proxy/attempts.py
+++ b/load_balancer/proxy/attempts.py
@@ -35,7 +35,11 @@
         return not self._request.slot.client_has_left()
 
     def may_write(self) -> bool:
-        """Return whether the last check allows the attempt, and record the attempt as written if so."""
+        """Check the attempt right before it is written, and record it as written if the check passes.
+
+        Returns:
+            Whether the attempt may be written.
+        """
         return self._sender.may_write(self._attempt, self._request)
 
     def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
@@ -65,7 +69,7 @@
             driver: receives the events.
             clock: the node's clock.
             counters: counts the outcomes of attempts and the attempts that are written or withheld.
-            rules: records the rule violations that the last check prevents.
+            rules: records the rule violations that the check right before a write prevents.
         """
         self._table = table
         self._requests = requests
@@ -104,7 +108,7 @@
     def _skip(self, action: SendAttempt) -> None:
         """Report an attempt of a finished request as not sent.
 
-        The policy has decided on the attempt before it was told that the request has ended.
+        The policy decided on the attempt before it was told that the request had ended.
         """
         request = self._table.finished(action.request_id)
         number = request.attempt_count
@@ -127,15 +131,19 @@
         self._table.add_attempt(attempt, upstream_request)
 
     def may_write(self, attempt: Attempt, request: PendingRequest) -> bool:
-        """Check an attempt right before it is written, and record it as written if the check passes."""
+        """Check an attempt right before it is written, and record it as written if the check passes.
+
+        Returns:
+            Whether the attempt may be written.
+        """
         now_ms = self._clock.now()
         endpoint = self._pools.serving_endpoint(attempt.endpoint_id)
         rule = request.guard.check_write(endpoint, now_ms)
         if attempt.request_id not in self._table:
             rule = Rule.FINISHED
         if rule is Rule.OUTSIDE_WINDOW:
-            # This is not a fault of the policy: a delay on the node's own machine let the connection be
-            # established only after the end of the deduplication window.
+            # This is not a fault of the policy: because of a delay on the node's own machine, the connection
+            # was established only after the deduplication window had ended.
             self._counters.withheld += 1
             return False
         if rule is not None or endpoint is None:
@@ -149,7 +157,10 @@
     def on_attempt_ended(
         self, attempt: Attempt, request: PendingRequest, outcome: Outcome, response: HttpMessage | None
     ) -> None:
-        """Send the response to the client if the request is open, and report the outcome to the policy."""
+        """Report the outcome to the policy; before that, send a response to the client if there is one.
+
+        The response is sent only if the request is still open.
+        """
         self._counters.outcomes[outcome] += 1
         request.guard.record_outcome(attempt.number, outcome)
         self._table.release(request.client_id)
--- a/load_balancer/proxy/configuration.py
+++ b/load_balancer/proxy/configuration.py
@@ -59,7 +59,7 @@
         limits: the resource limits that the platform sets.
         settings: the policy's settings.
         listing_reader: parses endpoint lists, with the names of zones and machine types from the settings.
-        cached_listing: the endpoint list that was written to the file; None if the file contains no list.
+        cached_listing: the endpoint list as it was when the file was written; None if the file has no list.
         connection_idle_ms: the idle time in milliseconds after which endpoints close a connection.
         file_discovery: the address of discovery according to the file; None if the file has no such address.
         file_stamp: identifies the content of the file that was read.
--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -5,7 +5,8 @@
 from typing import NamedTuple
 
 # These descriptors are not divided.  The process uses 20 of them when it has no connections.  The others are
-# for the watch of discovery and its successor, and for connections that are being accepted or closed.
+# for the watch at discovery, for the watch that replaces it, and for connections that are being accepted or
+# closed.
 RESERVED_DESCRIPTORS = 28
 DOWNSTREAM_FRACTION = 0.42  # of the descriptors that are not reserved
 MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: clients with requests may use that many connections
--- a/load_balancer/proxy/event_loop/__init__.py
+++ b/load_balancer/proxy/event_loop/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers on top of the event loop: timers, clock and polling.  Imports no other part of the proxy."""
+"""Helpers for the event loop: timers, a clock and polling.  They import no other part of the proxy."""
--- a/load_balancer/proxy/event_loop/clock.py
+++ b/load_balancer/proxy/event_loop/clock.py
@@ -8,8 +8,8 @@
 class Clock:
     """Unix time in milliseconds, advanced by the monotonic clock.
 
-    The clock never goes backwards.  Even if the system's clock is set, its times remain comparable with the
-    start times of endpoints.
+    The clock never goes backwards.  Even if the system's clock is set, the times of this clock remain
+    comparable with the start times of endpoints.
     """
 
     def __init__(self) -> None:
--- a/load_balancer/proxy/event_loop/loop_iterations.py
+++ b/load_balancer/proxy/event_loop/loop_iterations.py
@@ -1,4 +1,4 @@
-"""Determines a lower bound of the arrival time of the input that an event-loop iteration reads.
+"""Determines a lower bound on the arrival time of the input that an event-loop iteration reads.
 
 A client's budget counts from the arrival of the last byte of its request.  A busy event loop reads that byte
 late, so a response that is timed from the read would miss the deadline.  The operating system does not report
--- a/load_balancer/proxy/lifecycle/__init__.py
+++ b/load_balancer/proxy/lifecycle/__init__.py
@@ -1,5 +1,5 @@
 """A node's signals, readiness, configuration reload and graceful shutdown.
 
-Of the proxy, this package imports the configuration, the downstream server, discovery, the upstream pools and
-the event loop's helpers.
+This package imports only these parts of the proxy: the configuration, the downstream server, discovery, the
+upstream pools and the event loop's helpers.
 """
--- a/load_balancer/proxy/lifecycle/configuration_reload.py
+++ b/load_balancer/proxy/lifecycle/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Moves discovery to the address in the configuration file, after SIGHUP and right after the start."""
+"""Applies the address of discovery in the configuration file, after SIGHUP and right after the start."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ConfigurationReload:
-    """Reads the configuration file again, with retries, and moves discovery to the address in it."""
+    """Reads the configuration file again, with retries, and applies the address of discovery in it."""
 
     def __init__(self, config: NodeConfiguration, discovery: EndpointDiscovery) -> None:
         self._config = config
@@ -28,7 +28,9 @@
         self._timers = TimerGroup()
 
     def after_start(self) -> None:
-        """Apply a SIGHUP that arrived before the node handled signals; call this once the node handles them.
+        """Apply a SIGHUP that arrived before the node handled signals.
+
+        Call this method after the signal handlers have been installed.
 
         The environment contains the address from the time at which the process was started.  A file with a
         different address, or a file that was replaced after it was read, is newer than the environment.
--- a/load_balancer/proxy/lifecycle/graceful_shutdown.py
+++ b/load_balancer/proxy/lifecycle/graceful_shutdown.py
@@ -55,7 +55,7 @@
         if not self._downstream.is_busy() and now - self._downstream.last_activity >= QUIET_PERIOD_S:
             self._stop()
         elif self.deadline.is_over(now):
-            # A request that arrives after this time could be accepted but not answered.
+            # A request that arrives after this time could be accepted but not answered, so accept none.
             self._downstream.end_input()
             self._fail_open_requests()
             self._timers.call_later(FLUSH_S, self._stop)
--- a/load_balancer/proxy/observability/counters.py
+++ b/load_balancer/proxy/observability/counters.py
@@ -23,7 +23,7 @@
 
     IDLE = "idle"
     UNUSED = "unused"
-    """The client sent no request for the endpoints on the connection."""
+    """The client sent no valid request under /api on the connection."""
 
     EVICTED = "evicted"
     RESPONSE_UNREAD = "response_unread"
@@ -44,7 +44,7 @@
         abandoned: accepted requests whose client left before the response.
         responses: responses by status, including responses to readiness checks.
         finished: requests that were rejected or failed, by reason.
-        written: attempts that were written.
+        written: attempts whose bytes were written to a connection.
         withheld: attempts that were not written because the deduplication window of their key had ended.
         outcomes: attempts that have ended, by outcome.
         closed: client connections that the node closed, by reason.
--- a/load_balancer/proxy/observability/rule_monitor.py
+++ b/load_balancer/proxy/observability/rule_monitor.py
@@ -44,7 +44,8 @@
     """Counts and logs rule violations.
 
     Attributes:
-        violations: how often each rule was violated, or would have been violated without the last check.
+        violations: how often each rule was violated, or would have been violated without the
+            check right before the write or rejection.
     """
 
     def __init__(self) -> None:
--- a/load_balancer/proxy/policy_driver.py
+++ b/load_balancer/proxy/policy_driver.py
@@ -56,7 +56,8 @@
         self._iterations = iterations
         self._events: deque[Event] = deque()
         self._timers = TimerGroup()
-        # Set by connect() and not here, because the parts of the handler need this driver to be created.
+        # Set by connect() and not here, because the parts of the handler are created with a reference to this
+        # driver.
         self._handler: ActionHandler
 
     def connect(self, handler: ActionHandler) -> None:
--- a/load_balancer/proxy/request_handler.py
+++ b/load_balancer/proxy/request_handler.py
@@ -29,7 +29,7 @@
 BUDGET_RESERVE_MS = 25.0
 MAX_RESERVE_FRACTION = 0.2  # the reserve is at most this fraction of the budget
 # If the policy has not ended a request by the end of its budget, the node itself answers the request this
-# much later, which is still within the reserve.
+# much later, which is still within the reserve unless the budget is very short.
 DEADLINE_TIMER_MS = 10.0
 
 
@@ -56,7 +56,7 @@
             driver: receives the events.
             clock: the node's clock.
             counters: counts accepted, abandoned and finished requests.
-            rules: records the rejections that the last check does not allow.
+            rules: records the rejections that the request's guard does not allow.
             shutdown_deadline: limits the budgets of requests during a shutdown.
         """
         self._settings = settings
@@ -100,10 +100,10 @@
         )
 
     def _budget_ms(self, parsed: ParsedRequest, slot: ResponseSlot) -> float:
-        """Return the milliseconds that are left for a response.
+        """Return the milliseconds that are left for a response, without the reserve.
 
         The client's budget counts from the arrival of the request.  A busy event loop reads the request some
-        time after its arrival.
+        time after its arrival, so the time since the arrival is subtracted.
         """
         elapsed_ms = 1000.0 * (time.monotonic() - slot.arrived_at_s)
         budget_ms = self._shutdown_deadline.limit_budget(parsed.budget_ms - elapsed_ms)
@@ -171,11 +171,11 @@
             self.withdraw_unsent(request_id, request)
 
     def _on_deadline(self, request_id: RequestId) -> None:
-        """Answer a request that the policy has not answered in time, before the client's deadline."""
+        """Answer a request that the policy has not ended within its budget, before the client's deadline."""
         log.error("response_deadline_missed request=%d", request_id)
         self.respond_fault(request_id)
 
-    # Other ends of a request.
+    # Ending requests.
 
     def _abandon(self, request_id: RequestId) -> None:
         """End a request whose client has left."""
