--- a/tests/proxy/blocking_client.py
+++ b/tests/proxy/blocking_client.py
@@ -18,7 +18,7 @@
 
 
 def blocking_client(address: tuple[str, int]) -> socket.socket:
-    """Connect a client and send a request; further calls take effect even while the event loop is blocked."""
+    """Connect a client and send a request; the socket works even while the node's event loop is blocked."""
     client = socket.create_connection(address, timeout=TIMEOUT_S)
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     client.sendall(request("look"))
--- a/tests/proxy/lifecycle/test_configuration_reload.py
+++ b/tests/proxy/lifecycle/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""Tests that discovery moves to the address in the configuration file, after SIGHUP and after a start."""
+"""Tests that a node applies a changed address of discovery, after SIGHUP and after a start."""
 
 from __future__ import annotations
 
--- a/tests/proxy/lifecycle/test_graceful_shutdown.py
+++ b/tests/proxy/lifecycle/test_graceful_shutdown.py
@@ -84,7 +84,7 @@
         answer_limit_s = environment.node.shutdown.deadline.answer_within_s
         assert answer_limit_s >= min(
             max(deadlines_ms) / 1000.0, 3.0
-        ), "earlier requests lose some of their time"
+        ), "requests from before SIGTERM have less time than their deadlines allow"
         stop_limit_s = (
             answer_limit_s + KILL_MARGIN_S / 2 + graceful_shutdown.DRAIN_CHECK_S + graceful_shutdown.FLUSH_S
         )
@@ -123,7 +123,7 @@
 async def test_unaccepted_connection_at_shutdown_end_gets_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # No check is due by itself in this time: the test calls check_drained() below.
+    # With this value, the node does not call check_drained() during the test; the test calls it below.
     monkeypatch.setattr(graceful_shutdown, "MIN_DRAIN_S", TIMEOUT_S)
     monkeypatch.setattr(graceful_shutdown, "QUIET_PERIOD_S", 0.0)
     async with (
--- a/tests/proxy/lifecycle/test_readiness.py
+++ b/tests/proxy/lifecycle/test_readiness.py
@@ -13,7 +13,7 @@
 
 @async_test
 async def test_not_ready_with_list_that_may_be_stale() -> None:
-    """The cached list may contain a serving endpoint that the agent meanwhile lists as draining."""
+    """The cached list may show an endpoint as serving that the agent already lists as draining."""
     async with (
         StubServer([reply("200 OK", b"a")]) as endpoint_a,
         StubServer([reply("200 OK", b"b")]) as endpoint_b,
--- a/tests/proxy/stub_client.py
+++ b/tests/proxy/stub_client.py
@@ -37,9 +37,9 @@
         return await asyncio.wait_for(self._read_response(), TIMEOUT_S)
 
     async def _read_response(self) -> Response:
-        first, headers = await read_head(self.reader)
+        start_line, headers = await read_head(self.reader)
         body = await self.reader.readexactly(int(headers["content-length"]))
-        return Response(int(first.split(" ")[1]), headers, body)
+        return Response(int(start_line.split(" ")[1]), headers, body)
 
     async def fetch(self, kind: str = "look", **options: Unpack[RequestOptions]) -> Response:
         """Send a request, which is built by request() from these options, and read the response."""
@@ -47,7 +47,10 @@
         return await self.read_response()
 
     async def ends_without_output(self) -> bool:
-        """Wait until the node closes the connection; return whether no further byte was received before."""
+        """Wait until the node closes the connection, and return whether no further byte was received.
+
+        If the node resets the connection, the result is True.
+        """
         with contextlib.suppress(ConnectionError):
             return await asyncio.wait_for(self.reader.read(), TIMEOUT_S) == b""
         return True
--- a/tests/proxy/stub_discovery.py
+++ b/tests/proxy/stub_discovery.py
@@ -80,8 +80,8 @@
         self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        first, _ = await read_head(reader)
-        self.targets.append(first.split(" ")[1])
+        start_line, _ = await read_head(reader)
+        self.targets.append(start_line.split(" ")[1])
         if not self.mute:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches.put_nowait(writer)
@@ -95,6 +95,6 @@
 
 
 def send_line(watch: asyncio.StreamWriter, line: Mapping[str, object] | bytes) -> None:
-    """Send a line on a watch in a separate chunk: an object as JSON, or bytes without a change."""
+    """Send a line on a watch, in its own chunk; an object is sent as JSON, and bytes are sent unchanged."""
     text = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
     watch.write(b"%x\r\n%s\r\n" % (len(text), text))
--- a/tests/proxy/stub_server.py
+++ b/tests/proxy/stub_server.py
@@ -29,7 +29,7 @@
 
 
 def reply(status: str, body: bytes = b"", extra: str = "") -> Behaviour:
-    """Return a behaviour that responds with this status line, body and additional header lines."""
+    """Return a behaviour that responds with this status, such as "200 OK", body and extra header lines."""
 
     async def behave(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         head = f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
@@ -39,7 +39,7 @@
 
 
 def raw(text: bytes, *, close: bool = False, times: int = 1) -> Behaviour:
-    """Return a behaviour that writes these bytes the given number of times, and then may close."""
+    """Return a behaviour that writes these bytes the given number of times, and closes if close is set."""
 
     async def behave(_: StubServer, __: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(text * times)
@@ -50,7 +50,7 @@
 
 
 def when_released(behaviour: Behaviour) -> Behaviour:
-    """Return a behaviour that waits until the endpoint's release is set and then behaves as given."""
+    """Return a behaviour that waits until the endpoint's release is set and then runs the given behaviour."""
 
     async def behave(server: StubServer, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await server.release.wait()
@@ -83,7 +83,10 @@
 
 
 def in_pieces(*pieces: bytes) -> Behaviour:
-    """Return a behaviour that waits for release before each piece that it writes, and closes at the end."""
+    """Return a behaviour that waits for release before each piece that it writes, and closes at the end.
+
+    The behaviour sets request_received after each piece.
+    """
 
     async def behave(server: StubServer, _: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         for piece in pieces:
@@ -102,8 +105,8 @@
 
 
 async def _read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
-    first, headers = await read_head(reader)
-    method, target, _ = first.split(" ")
+    start_line, headers = await read_head(reader)
+    method, target, _ = start_line.split(" ")
     body = await reader.readexactly(int(headers.get("content-length", 0)))
     return ReceivedRequest(method, target, headers, body)
 
@@ -117,7 +120,7 @@
         address: the address at which the endpoint listens, as host:port.
         received: all requests that were received, in order.
         release: set by a test to let the behaviours that wait for it continue.
-        request_received: set when a request has been received.
+        request_received: set when a request has been received, and by in_pieces() after each piece.
         disconnected: set when a connection has been closed.
         accepted_connections: the number of connections that were accepted.
         writers: the writing ends of all connections, in the order in which they were accepted.
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -63,7 +63,7 @@
         running_node(row("a", endpoint_a.address), row("b", endpoint_b.address), **limits) as environment,
     ):
         client = await environment.connect_client()
-        # This response gives the policy a latency estimate; it hedges attempts that take longer.
+        # This response gives the policy a latency estimate.  The policy hedges attempts that take longer.
         assert (await client.fetch("look")).status == 200
         warm_up_requests = len(endpoint_a.received) + len(endpoint_b.received)
         endpoint_a.behaviours[:] = endpoint_b.behaviours[:] = [when_released(reply("200 OK", b"first"))]
@@ -170,13 +170,13 @@
     """The node cannot know whether the last byte was sent, so the request may have been executed."""
     opened_connections = 0
 
-    async def break_at_head(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def abort_after_head(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal opened_connections
         opened_connections += 1
         await read_head(reader)
         writer.transport.abort()
 
-    server = await asyncio.start_server(break_at_head, HOST, 0, limit=1024)
+    server = await asyncio.start_server(abort_after_head, HOST, 0, limit=1024)
     address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
     async with running_node(
         row("a", address), row("b", address.replace("127.0.0.1", "127.0.0.2"))
--- a/tests/proxy/test_endpoint_faults.py
+++ b/tests/proxy/test_endpoint_faults.py
@@ -66,7 +66,7 @@
         listener.bind((HOST, 0))
         listener.listen(0)
         address = listener.getsockname()
-        for _ in range(2):  # they fill the backlog
+        for _ in range(2):  # these connections fill the backlog
             filler = stack.enter_context(socket.socket())
             filler.setblocking(False)
             filler.connect_ex(address)
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("kind", ["look", "move", "book"])
 @async_test
 async def test_truncated_response_is_not_served(kind: str, where: str, how: str) -> None:
-    """All endpoints truncate their responses: none is forwarded, and the request ends in time."""
+    """All endpoints truncate their responses: no response is forwarded, and the request ends in time."""
     text = TRUNCATED_RESPONSES[where]
     loop = asyncio.get_running_loop()
     async with (
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -85,7 +85,7 @@
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_idle_connection_that_breaks_after_write_causes_no_resend() -> None:
-    """HTTP clients often resend such a request on a new connection; a node must not resend it."""
+    """HTTP clients often resend a request if its idle connection breaks; a node must not resend it."""
     async with (
         StubServer([reply("200 OK"), reset]) as endpoint,
         running_node(row("a", endpoint.address)) as environment,
--- a/tests/proxy/test_request_table.py
+++ b/tests/proxy/test_request_table.py
@@ -1,4 +1,4 @@
-"""Tests that a client id is reserved while its request is open."""
+"""Tests that a client id is reserved until its request and the attempts of the request have ended."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 async def test_client_id_is_reserved_until_attempts_have_ended() -> None:
     behaviours = [when_released(reply("200 OK", b"first")), reply("200 OK", b"second")]
     async with StubServer(behaviours) as endpoint, running_node(row("a", endpoint.address)) as environment:
-        first, other = await environment.connect_client(), await environment.connect_client()
-        first.writer.write(request("book", name="one"))
+        first_client, other_client = await environment.connect_client(), await environment.connect_client()
+        first_client.writer.write(request("book", name="one"))
         await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
-        assert (await other.fetch("book", name="one")).status == 409
+        assert (await other_client.fetch("book", name="one")).status == 409
         assert len(endpoint.received) == 1
         endpoint.release.set()
-        assert (await first.read_response()).body == b"first"
-        assert (await first.fetch("book", name="one")).body == b"second"
+        assert (await first_client.read_response()).body == b"first"
+        assert (await first_client.fetch("book", name="one")).body == b"second"
         assert not environment.node.requests.reserved_client_ids
