--- a/load_balancer/simulator/adapter.py
+++ b/load_balancer/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Run independent policy instances for the simulator: read batches on stdin, write replies on stdout.
+"""Run independent policy instances for the simulator: read batches from stdin, write replies to stdout.
 
     python -m load_balancer.simulator.adapter
 
@@ -34,17 +34,18 @@
         """Apply the events of one batch and return the encoded reply frame with the resulting actions.
 
         Raises:
-            WireError: a record cannot be decoded, or names an instance that has not been started.
+            WireError: a record cannot be decoded or names an instance that has not been started, or the body
+                of the batch is shorter or longer than its records.
         """
         replies: list[bytes] = []
         for code, fields in split_records(batch):
             record = self._decoder.decode(code, fields)
             if record is not None:
                 instance_id, event = record
-                replies.extend(self._encoded_actions(instance_id, event, batch.now_ms))
+                replies.extend(self._apply_and_encode(instance_id, event, batch.now_ms))
         return encode_reply(replies)
 
-    def _encoded_actions(self, instance_id: int, event: InstanceEvent, now_ms: float) -> list[bytes]:
+    def _apply_and_encode(self, instance_id: int, event: InstanceEvent, now_ms: float) -> list[bytes]:
         try:
             actions = self._apply(instance_id, event, now_ms)
         except WireError:
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -59,7 +59,8 @@
     """The input is malformed, holds invalid settings, or refers to an unknown code, table or instance.
 
     Attributes:
-        location: the part of the input that has the error, such as "batch header", or "record 5" for code 5.
+        location: the part of the input that has the error, such as "batch header", or "record 5" for a record
+            with code 5.
         problem: a description of what is wrong with that part.
     """
 
@@ -113,14 +114,14 @@
     for _ in range(batch.record_count):
         fields_start = position + RECORD_HEADER.size
         if fields_start > len(body):
-            raise WireError("batch body", "the body ends before its last record")
+            raise WireError("batch body", "the body holds fewer records than the batch header announces")
         code, length = RECORD_HEADER.unpack_from(body, position)
         position = fields_start + length
         if position > len(body):
             raise WireError(f"record {code}", "the record is cut short by the end of the batch body")
         yield code, body[fields_start:position]
     if position != len(body):
-        raise WireError("batch body", "the body holds more bytes than its records")
+        raise WireError("batch body", "the body continues after its last record")
 
 
 def encode_reply(records: Sequence[bytes]) -> bytes:
--- a/load_balancer/simulator/decoding.py
+++ b/load_balancer/simulator/decoding.py
@@ -109,11 +109,11 @@
 
 
 class Decoder:
-    """A decoder that is given all records of the input, in the order in which they were received.
+    """A decoder for all event records of one adapter process.
 
     It stores the numbered endpoint tables, which all instances of the process share.  A table is sent once
     for the many endpoint list updates that refer to it.  A table number may be reused within a batch, so the
-    order of the records matters.
+    records must be decoded in the order in which they were received.
     """
 
     def __init__(self) -> None:
@@ -125,10 +125,15 @@
         }
 
     def decode(self, code: int, fields: bytes) -> Record | None:
-        """Decode one record, or store an endpoint table and return None, as a table belongs to no instance.
+        """Decode one record.
+
+        Returns:
+            The decoded record, or None for an endpoint table.  A table belongs to no single instance, so it
+            is only stored for later endpoint list updates.
 
         Raises:
-            WireError: the code is unknown, or the fields are malformed.
+            WireError: the code is unknown, or the fields are malformed, hold invalid settings or refer to an
+                unknown table.
         """
         decoder = self._decoders.get(code)
         if decoder is None:
--- a/load_balancer/simulator/encoding.py
+++ b/load_balancer/simulator/encoding.py
@@ -99,7 +99,7 @@
     return _TEXT.pack(code, length, instance_id, len(content)) + content
 
 
-# The second parameter of each encoder has the action type of its key.  The type of a mapping cannot express
+# The key of each encoder is the type of the encoder's second parameter.  The type of a mapping cannot express
 # this relation, so the parameter is typed as Any.
 _ENCODERS: Mapping[type[Action], Callable[[int, Any], bytes]] = {
     SendAttempt: _encode_send_attempt,
--- a/tests/simulator/frames.py
+++ b/tests/simulator/frames.py
@@ -90,7 +90,9 @@
 def request_arrived(instance_id: int, request_id: int, flags: int = 1) -> bytes:
     """Return the arrival of a request.
 
-    The request has class 0, tenant 1, idempotency key 9, a budget of 240 ms and a cost hint of 12 ms.
+    The request has class 0, tenant 1, item key 9, a budget of 240 ms and a cost hint of 12 ms.  The value of
+    ``flags`` is a sum: 1 if the cost hint is valid, 2 if the client marked the request as a retry, and 4 if
+    the request is a write.
     """
     fields = struct.pack("<IIHHQddH", instance_id, request_id, 0, 1, 9, 240.0, 12.0, flags)
     return record(REQUEST_ARRIVED, fields)
--- a/tests/test_adapter_protocol.py
+++ b/tests/test_adapter_protocol.py
@@ -1,4 +1,4 @@
-"""Tests that the tools reject malformed reply frames."""
+"""Tests that the tools read reply frames in order and reject malformed frames."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         pytest.param(FRAME[:-1], id="output ends inside a record"),
         pytest.param(b"\x01" + FRAME[1:], id="more records than announced"),
         pytest.param(b"\x03" + FRAME[1:], id="fewer records than announced"),
-        pytest.param(FRAME[:9] + b"\x08" + FRAME[10:], id="a record is longer than the frame"),
+        pytest.param(FRAME[:9] + b"\x08" + FRAME[10:], id="first record fills the whole frame"),
     ],
 )
 def test_frame_that_does_not_match_its_header_is_an_error(output: bytes) -> None:
--- a/tools/adapter_protocol.py
+++ b/tools/adapter_protocol.py
@@ -42,7 +42,7 @@
 
 
 class ReplyError(Exception):
-    """A reply frame is incomplete, or its header does not match its records."""
+    """A reply frame is incomplete or does not match its header, or a reply is not exactly one frame."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tools/compare_stream.py
+++ b/tools/compare_stream.py
@@ -1,4 +1,4 @@
-"""Replay streams that the simulator recorded through the adapter, and compare the replies byte for byte.
+"""Replay recorded streams of the simulator through the adapter, and compare the replies byte for byte.
 
     python -m tools.compare_stream FILE...    run from the root of the repository
 
@@ -74,7 +74,7 @@
 
 
 def read_exchanges(path: Path) -> Iterator[Exchange]:
-    """Yield each batch of a tap file that has a reply, with this reply, in the order of the replies."""
+    """Yield each batch that has a reply in a tap file, with the reply, in the order of the replies."""
     batches: dict[int, bytes] = {}
     for frame in read_frames(path):
         if frame.is_batch:
@@ -104,7 +104,10 @@
 
 
 class Adapter:
-    """A running adapter process, used as a context manager that closes its input and waits for it to exit."""
+    """A running adapter process.
+
+    Leaving the context closes the input of the process and waits until the process exits.
+    """
 
     def __init__(self, command: str) -> None:
         self._process = subprocess.Popen(
@@ -153,14 +156,14 @@
     """Send the recorded batches of one process to a new adapter and compare its replies with the recording.
 
     Raises:
-        StreamMismatchError: a reply differs, and the message begins with the title; or a reply is missing.
+        StreamMismatchError: a reply is missing or differs.  If it differs, the message begins with ``title``.
         ReplyError: the bytes of a reply are not exactly one frame.
     """
     with Adapter(command) as adapter:
         for number, exchange in enumerate(exchanges):
             reply = adapter.send_batch(exchange.batch)
             if comparable_actions(reply) != comparable_actions(exchange.reply):
-                raise StreamMismatchError(f"{title}: reply {number} differs")
+                raise StreamMismatchError(f"{title}: reply {number} differs from the recorded reply")
 
 
 def children_seconds() -> float:
--- a/tools/measure_decision_cost.py
+++ b/tools/measure_decision_cost.py
@@ -32,7 +32,7 @@
 
 
 class DecisionBenchmark:
-    """A policy instance that receives requests at a fixed interval and serves all of them."""
+    """A policy instance that receives requests at a fixed interval; all attempts succeed."""
 
     def __init__(self, endpoint_count: int) -> None:
         settings = Settings(classes=(RequestClass("r", latency_objective_ms=1000, deadline_ms=3000),))
--- a/tools/replay_stream.py
+++ b/tools/replay_stream.py
@@ -47,7 +47,11 @@
 
 
 def adapter_output(command: str, stream: bytes, hash_seed: str) -> bytes:
-    """Run the adapter on a stream with this hash seed, and return its complete output."""
+    """Run the adapter on a stream with this hash seed, and return its complete output.
+
+    Raises:
+        AssertionError: the adapter did not exit with code 0.
+    """
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
     run = subprocess.run(
         ["/bin/sh", "-c", command], input=stream, capture_output=True, cwd=ROOT, env=environment, check=False
@@ -62,7 +66,10 @@
 
 
 def check_replies(replies: list[Reply]) -> None:
-    """Check that the replies are correct for the recorded events.
+    """Check the replies to the recorded events.
+
+    No instance may report a fault.  Each request of instance 1 must be forwarded and neither rejected nor
+    failed.  Instance 2 must forward at least MIN_FORWARDED_BY_CHANGING_INSTANCE requests.
 
     Raises:
         AssertionError: a reply is wrong; the message describes how.
@@ -73,14 +80,14 @@
         assert not is_fault, f"an instance failed: {action.fields[FAULT_TEXT_OFFSET:].decode()}"
     forwarded = request_ids(actions, ActionCode.SEND_ATTEMPT)
     missing = STEADY_REQUESTS - forwarded
-    assert not missing, f"requests were not forwarded at once: {sorted(missing)}"
+    assert not missing, f"requests of instance 1 were not forwarded: {sorted(missing)}"
     unserved = request_ids(actions, ActionCode.REJECT_REQUEST) | request_ids(actions, ActionCode.FAIL_REQUEST)
     rejected_or_failed = STEADY_REQUESTS & unserved
     assert not rejected_or_failed, f"forwarded requests were rejected or failed: {sorted(rejected_or_failed)}"
     forwarded_by_changing_instance = forwarded - STEADY_REQUESTS
     assert (
         len(forwarded_by_changing_instance) >= MIN_FORWARDED_BY_CHANGING_INSTANCE
-    ), "the second instance forwarded too few requests"
+    ), "instance 2 forwarded too few requests"
 
 
 def record() -> None:
--- a/tools/stream_recording.py
+++ b/tools/stream_recording.py
@@ -123,7 +123,7 @@
 
 
 def arrival(instance: int, request: int, class_index: int, budget_ms: float) -> bytes:
-    """Return the arrival of a request of the first tenant, without an idempotency key or a cost hint."""
+    """Return the arrival of a request of the first tenant, without an item key or a cost hint."""
     fields = (instance, request, class_index, 0, 0, budget_ms, 0.0, 0)
     return pack_record(EventCode.REQUEST_ARRIVED, "IIHHQddH", *fields)
 
@@ -138,7 +138,7 @@
 
 
 def list_changes(step: int, now_ms: float, rows: list[EndpointRow]) -> list[bytes]:
-    """Return the list updates, kill and restart of the second instance at this step, if any."""
+    """Return the records that update the endpoint list of instance 2 or restart it; most steps have none."""
     if step == STEP_WITH_DELTA:
         changed = [EndpointRow(2, Readiness.DRAINING), EndpointRow(3, Readiness.READY, now_ms - 50.0)]
         return update_list(CHANGING_INSTANCE, 3, ListMode.DELTA, changed)
@@ -150,10 +150,10 @@
 
 
 def outcomes(step: int, steady_request: int) -> list[bytes]:
-    """Return the end of the first instance's attempt and, in later steps, the end of an unanswered request.
+    """Return the end of instance 1's attempt and, in later steps, the abandonment of a request of instance 2.
 
-    The attempt succeeds.  In each step after number STEPS_BEFORE_ABANDONING, the second instance's request of
-    STEPS_BEFORE_ABANDONING steps earlier is also abandoned.
+    The attempt succeeds.  In each step with a number above STEPS_BEFORE_ABANDONING, the client abandons the
+    request that instance 2 received STEPS_BEFORE_ABANDONING steps earlier.
     """
     fields = (STEADY_INSTANCE, steady_request, 0, server_address(1), STATUS_OK, 10.0, 1, 0)
     ended = pack_record(EventCode.ATTEMPT_ENDED, "IIH6sHdBB", *fields)
