--- a/tests/process/node_process.py
+++ b/tests/process/node_process.py
@@ -38,7 +38,7 @@
 
     @classmethod
     def write(cls, directory: Path, *, sockets: int, **members: Any) -> ConfigurationFile:
-        """Write a configuration file with the sample settings into a directory.
+        """Write a configuration file, by default with the sample settings, to a directory.
 
         Args:
             directory: the directory of the new file.
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -117,7 +117,7 @@
         client.close()
 
     async def max_open_descriptors(self) -> int:
-        """Send bursts of requests while idle clients connect, and return the peak of open descriptors."""
+        """Send bursts of requests while idle clients connect; return the most descriptors open in a burst."""
         # Connections that are idle after one burst are still open during the next.
         return max([await self._descriptors_in_burst() for _ in range(4)])
 
@@ -128,7 +128,8 @@
         burst = await _Burst.send(self.node.address, self.sockets // 3)
         await self.connect_idle(self.sockets // 2)
         # Wait until the node has rejected every request of the burst or sent it to an endpoint, and only then
-        # release the endpoints.  The lower bound counts attempts rather than requests, because a hedged
+        # release the endpoints.  The second wait ensures that the endpoints hold at least half as many
+        # attempts as the burst has requests.  It counts attempts rather than requests, because a hedged
         # request takes two connections; without hedging, each request has one attempt.
         await until(lambda: len(set(self._received_ids())) + burst.completed() == len(burst.clients))
         await until(lambda: len(self._received_ids()) >= len(burst.clients) // 2)
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -38,7 +38,7 @@
 async def test_signals_during_exit_do_not_change_exit_code(tmp_path: Path) -> None:
     """SIGHUP and SIGTERM are sent repeatedly from the first SIGTERM until the process exits.
 
-    Some of these signals arrive while the event loop closes.
+    Signals can therefore also arrive while the node's event loop closes.
     """
     async with StubServer([reply("200 OK")]) as endpoint, StubDiscovery() as discovery:
         cached_list = listing(1, row("a", endpoint.address))
@@ -62,13 +62,18 @@
 """
 """The source of a sitecustomize module, which makes the interpreter wait during its startup.
 
-The interpreter waits until a named pipe, the gate, is opened for writing.
+The interpreter waits until the test opens a named pipe, the gate, for writing.
 """
 
 
 @async_test
 async def test_sighup_during_process_start_is_handled(tmp_path: Path) -> None:
-    """The configuration changes, and SIGHUP arrives, before any of the node's own code has run."""
+    """A node must use a new configuration whose SIGHUP is sent while the node's process starts.
+
+    The gate holds the interpreter before the node's own code until the test opens the gate.  Only then does
+    the test change the configuration and send SIGHUP.  The interpreter continues meanwhile, so the test does
+    not determine how much of the node's code has run when the signal arrives.
+    """
     gate = tmp_path / "gate"
     os.mkfifo(gate)
     (tmp_path / "sitecustomize.py").write_text(_WAIT_FOR_GATE_MODULE)
@@ -84,7 +89,7 @@
         )
         gate_environment = {"NODE_START_GATE": str(gate), "PYTHONPATH": str(tmp_path)}
         process = await start_process({**configuration.environment(old_discovery), **gate_environment})
-        # This open returns when the interpreter has reached its wait.
+        # This open returns when the interpreter has reached its wait, and also ends the wait.
         write_end = await asyncio.to_thread(os.open, gate, os.O_WRONLY)
         configuration.set_discovery_address(new_discovery)
         process.send_signal(signal.SIGHUP)
