--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the load balancer; their folders mirror those of the package."""
+"""Tests of the load balancer; the folders policy, proxy and simulator mirror those of the package."""
--- a/tests/document_references.py
+++ b/tests/document_references.py
@@ -49,7 +49,10 @@
 
 
 def paths_in_code_spans(text: str) -> set[str]:
-    """Return the words in code spans that look like a path in the repository."""
+    """Return the words in code spans that look like a path in the repository, without a slash at the end.
+
+    Paths in .venv and those in NOT_IN_REPOSITORY are omitted.
+    """
     words = {word for span in _CODE_SPAN.findall(text) for word in span.split()}
     paths = {word.rstrip("/") for word in words if _PATH.fullmatch(word)}
     return {path for path in paths if not path.startswith(".venv")} - NOT_IN_REPOSITORY
--- a/tests/log_event_names.py
+++ b/tests/log_event_names.py
@@ -20,12 +20,12 @@
     "critical": "CRITICAL",
 }
 POLICY_LEVEL = "INFO"
-# A log line that consists of one LogEvent; the name is read where the LogEvent is constructed.
+# The format of a log line that consists of one LogEvent; its name is read where the LogEvent is constructed.
 FORWARDED_TEXT = "%s"
 
 
 class UnreadableEventError(Exception):
-    """The name of a logged event is not a constant in the source; the message names the line."""
+    """The name of a logged event is not a constant in the source; the message gives the line number."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
