--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT
+from tests.policy.sample_classes import IDEMPOTENT, NON_IDEMPOTENT
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 
--- a/tests/policy/fleet.py
+++ b/tests/policy/simulated_fleet.py
@@ -23,7 +23,7 @@
     TimerFired,
 )
 from load_balancer.settings import Settings
-from tests.policy.samples import IDEMPOTENT
+from tests.policy.sample_classes import IDEMPOTENT
 
 FLEET_SETTINGS = Settings(
     classes=(IDEMPOTENT,), warm_up_ms=12_000.0, initial_capacity=0.2, overload_window_ms=1000.0
--- a/tests/policy/simulated_host.py
+++ b/tests/policy/simulated_host.py
@@ -34,7 +34,7 @@
 )
 from load_balancer.settings import RequestClass, Settings
 from tests.policy.rule_checks import RuleChecks
-from tests.policy.samples import IDEMPOTENT
+from tests.policy.sample_classes import IDEMPOTENT
 from tests.policy.tracking import TrackedAttempt, TrackedRequest
 
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -13,11 +13,11 @@
     RequestArrived,
 )
 from load_balancer.settings import Settings, Tenant
-from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT
-from tests.policy.simulated_host import make_host
-from tests.policy.traffic import (
+from tests.policy.overload_helpers import (
     START_LIMIT,
 )
+from tests.policy.sample_classes import IDEMPOTENT, NON_IDEMPOTENT
+from tests.policy.simulated_host import make_host
 
 
 def test_a_starting_node_limits_a_flood_and_sends_the_highest_priority_first() -> None:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -17,7 +17,7 @@
 )
 from load_balancer.settings import DeduplicationScope, Idempotency, RequestClass, Settings, SettingsError
 from tests.policy.random_events import RandomEvents
-from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT, endpoints_in_cells, keyed
+from tests.policy.sample_classes import IDEMPOTENT, NON_IDEMPOTENT, endpoints_in_cells, keyed
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 CLASSES = (
--- a/tests/policy/test_circuit_breakers.py
+++ b/tests/policy/test_circuit_breakers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from load_balancer.events import Outcome
-from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT
+from tests.policy.sample_classes import IDEMPOTENT, NON_IDEMPOTENT
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 FAULTY = bytes([2])
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -12,8 +12,7 @@
     Outcome,
 )
 from load_balancer.settings import Settings
-from tests.policy.simulated_host import SimulatedHost, make_host
-from tests.policy.traffic import (
+from tests.policy.overload_helpers import (
     SLOW_CLASS,
     SLOWEST_CLASS,
     START_LIMIT,
@@ -21,6 +20,7 @@
     endpoint_names,
     shedding_events,
 )
+from tests.policy.simulated_host import SimulatedHost, make_host
 
 
 def admitted_fraction(host: SimulatedHost, count: int) -> float:
--- a/tests/policy/test_congestion.py
+++ b/tests/policy/test_congestion.py
@@ -8,11 +8,11 @@
 from load_balancer.events import (
     Outcome,
 )
-from tests.policy.simulated_host import make_host
-from tests.policy.traffic import (
+from tests.policy.overload_helpers import (
     SLOW_CLASS,
     shedding_events,
 )
+from tests.policy.simulated_host import make_host
 
 # ---------------------------------------------------------------- congestion
 
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -10,8 +10,8 @@
 from load_balancer.actions import PollEndpointList
 from load_balancer.events import Endpoint, EndpointListKind, EndpointListUpdate, EndpointState, Outcome
 from load_balancer.settings import Settings
-from tests.policy.memory import endpoints_in_memory
-from tests.policy.samples import IDEMPOTENT
+from tests.policy.memory_inspection import endpoints_in_memory
+from tests.policy.sample_classes import IDEMPOTENT
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 POLLING = Settings(classes=(IDEMPOTENT,), poll_endpoint_list=True, poll_within_ms=4000.0, tick_ms=5.0)
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -6,7 +6,7 @@
 
 from load_balancer.actions import CheckHealth, CloseIdleConnections
 from load_balancer.events import Endpoint, HealthCheckEnded, Outcome
-from tests.policy.memory import endpoints_in_memory
+from tests.policy.memory_inspection import endpoints_in_memory
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 FAULTY = bytes([2])
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -10,7 +10,7 @@
 from load_balancer.events import Endpoint, EndpointListKind, EndpointState, Outcome
 from load_balancer.policy.selection import may_send
 from load_balancer.settings import DeduplicationScope, RequestClass
-from tests.policy.samples import IDEMPOTENT, NON_IDEMPOTENT, endpoints_in_cells, keyed
+from tests.policy.sample_classes import IDEMPOTENT, NON_IDEMPOTENT, endpoints_in_cells, keyed
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -20,7 +20,7 @@
 )
 from load_balancer.policy.automaton import Automaton
 from load_balancer.settings import Settings
-from tests.policy.samples import IDEMPOTENT
+from tests.policy.sample_classes import IDEMPOTENT
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 SUBSET_MIN, SUBSET_MOST = 6, 12
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -14,8 +14,8 @@
     Outcome,
 )
 from load_balancer.settings import Settings
-from tests.policy.fleet import Fleet
-from tests.policy.samples import IDEMPOTENT
+from tests.policy.sample_classes import IDEMPOTENT
+from tests.policy.simulated_fleet import Fleet
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 # ---------------------------------------------------------------- one node
