--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""The queue by priority, queue timeouts and tenant quotas."""
+"""Tests of the priority queue, queue timeouts and tenant quotas."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.policy.simulated_host import make_host
 
 
-def test_a_starting_node_limits_a_flood_and_sends_the_highest_priority_first() -> None:
+def test_a_new_node_limits_attempts_in_flight_and_sends_the_highest_priority_first() -> None:
     host = make_host(IDEMPOTENT, NON_IDEMPOTENT, endpoint_count=4)
     for _ in range(100):
         host.receive_request(0)
@@ -40,7 +40,7 @@
 
 
 def test_a_queued_request_is_rejected_after_a_twentieth_of_its_latency_objective() -> None:
-    """Requests that have queued for longer would be sent before newer ones and be answered too late."""
+    """A request that queued for longer would be sent before newer requests and yet be answered too late."""
     host = make_host(endpoint_count=4)
     requests = [host.receive_request() for _ in range(100)]
     for _ in range(4):
@@ -61,5 +61,6 @@
     for request in range(6):
         actions = balancer.handle(AttemptEnded(request, 0, b"x", Outcome.OK, 1.0, True), 2.0)
         sent += [a.request_id for a in actions if isinstance(a, SendAttempt)]
-    # The ten within the quota of the first tenant, then the other tenant's, then what is beyond the quota.
+    # First the rest of the ten requests within the quota of the first tenant, then the request of the other
+    # tenant, then a request beyond the quota.
     assert sent == [6, 7, 8, 9, 99, 10]
--- a/tests/policy/test_automaton.py
+++ b/tests/policy/test_automaton.py
@@ -1,4 +1,4 @@
-"""The automaton alone: hand-worked figures, and its invariants under any sequence."""
+"""Tests of the automaton alone: values calculated by hand, and invariants under any operations."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from load_balancer.policy.automaton import Automaton
 
 FLOOR = 0.4
-"""The lowest probability of an endpoint, as a part of the mean one."""
+"""The minimum probability of an endpoint, as a fraction of the mean probability."""
 SMOOTHING_FACTOR = 0.15
-"""The smoothing factor of the latency averages of a single node."""
+"""The smoothing factor of the latency averages with a single node."""
 
 ENDPOINT_IDS = [bytes([i]) for i in range(40)]
 
 
 def automaton_with_weights(*weights: float) -> Automaton:
-    """An automaton over endpoints of these weights."""
+    """Return an automaton for endpoints with these weights."""
     automaton = Automaton()
     automaton.resize({ENDPOINT_IDS[i]: w for i, w in enumerate(weights)})
     return automaton
 
 
-def test_an_update_matches_figures_worked_by_hand() -> None:
+def test_an_update_matches_values_calculated_by_hand() -> None:
     automaton = automaton_with_weights(1, 1, 1, 1)
     assert automaton.p == [0.25] * 4
-    automaton.learn(ENDPOINT_IDS[0], 100.0)  # every average's start, and no payoff against itself
+    automaton.learn(ENDPOINT_IDS[0], 100.0)  # the first response sets all averages and is no payoff
     assert automaton.latency_averages == [100.0] * 4 and automaton.p == [0.25] * 4
     assert automaton.learn(ENDPOINT_IDS[1], 60.0)
     assert automaton.latency_averages[1] == pytest.approx(100 + SMOOTHING_FACTOR * (60 - 100))
@@ -42,7 +42,7 @@
     assert automaton.p[1] == pytest.approx(0.25 + theta * (1 - 3 * floor - 0.25))
     assert automaton.p[0] == pytest.approx(0.25 + theta * (floor - 0.25))
     before = list(automaton.p)
-    assert not automaton.learn(ENDPOINT_IDS[2], 500.0)  # a miss moves the average and leaves the vector alone
+    assert not automaton.learn(ENDPOINT_IDS[2], 500.0)  # no payoff: only the average changes
     assert automaton.p == before and automaton.latency_averages[2] == pytest.approx(
         100 + SMOOTHING_FACTOR * 400
     )
@@ -50,10 +50,10 @@
 
 @pytest.mark.parametrize("nodes", [1, 3, 40, 1000])
 @pytest.mark.parametrize("endpoints", [2, 10, 40])
-def test_the_step_of_the_vector_grows_with_the_nodes_and_stays_well_below_that_of_the_averages(
+def test_the_learning_rate_grows_with_the_nodes_and_stays_well_below_the_smoothing_factor(
     nodes: int, endpoints: int
 ) -> None:
-    """With the rate of a single node each of two hundred would learn nothing in a day."""
+    """With the learning rate of a single node, each of two hundred nodes would learn nothing in a day."""
     automaton = Automaton(nodes)
     automaton.resize(dict.fromkeys(ENDPOINT_IDS[:endpoints], 1.0))
     assert automaton.theta <= automaton.alpha / 10 and SMOOTHING_FACTOR <= automaton.alpha <= 0.5
@@ -67,7 +67,10 @@
 
 
 def test_a_payoff_raises_all_endpoints_of_the_machine_type() -> None:
-    """With many nodes each sends an endpoint too few requests to learn, but not a machine type."""
+    """With many nodes, each node sends too few requests to a single endpoint to learn from them.
+
+    It sends enough requests to all endpoints of a machine type together.
+    """
     automaton = Automaton(node_count=30)
     automaton.resize(
         dict.fromkeys(ENDPOINT_IDS[:6], 1.0), {name: i // 3 for i, name in enumerate(ENDPOINT_IDS[:6])}
@@ -85,36 +88,36 @@
         == automaton.p[4]
         == automaton.p[5]
     )
-    for _ in range(200):  # the floor holds for the other type
+    for _ in range(200):  # the floor holds for endpoints of the other type
         automaton.learn(ENDPOINT_IDS[0], 1.0)
         assert sum(automaton.p) == pytest.approx(1.0) and min(automaton.p) >= floor * (1 - 1e-9)
 
 
-def test_many_nodes_with_few_requests_each_shift_traffic_as_one_would() -> None:
+def test_many_nodes_with_few_requests_each_shift_traffic_as_a_single_node_does() -> None:
     """Sixty nodes send six requests each to every endpoint; half of the endpoints take twice as long."""
     rng = random.Random(4)
-    slow = 0.0
+    slow_share = 0.0
     for _ in range(60):
         automaton = Automaton(node_count=60)
         automaton.resize(dict.fromkeys(ENDPOINT_IDS[:20], 1.0))
         for _ in range(120):
             i = automaton.draw(range(20), rng.random())
             automaton.learn(ENDPOINT_IDS[i], rng.expovariate(1.0) * (2.0 if i < 10 else 1.0))
-        slow += sum(automaton.p[:10]) / 60
-    assert slow < 0.43  # 0.49 with the step of a single node
+        slow_share += sum(automaton.p[:10]) / 60
+    assert slow_share < 0.43  # 0.49 with the learning rate of a single node
 
 
-def test_failures_are_no_payoff_and_do_not_move_the_threshold_far() -> None:
+def test_a_failure_is_no_payoff_and_moves_the_threshold_little() -> None:
     automaton = automaton_with_weights(1, 1, 1)
     automaton.learn(ENDPOINT_IDS[0], 100.0)
     before = list(automaton.p)
-    automaton.learn_failure(ENDPOINT_IDS[1], 1.0)  # a fast error counts as the mean
+    automaton.learn_failure(ENDPOINT_IDS[1], 1.0)  # the latency of a fast error counts as the mean
     assert automaton.p == before and automaton.mean() == pytest.approx(100.0)
-    automaton.learn_failure(ENDPOINT_IDS[1], 1e6)  # a long silence is capped
+    automaton.learn_failure(ENDPOINT_IDS[1], 1e6)  # the latency of a late failure is capped
     assert automaton.latency_averages[1] == pytest.approx(100 + SMOOTHING_FACTOR * (3 * 100 - 100))
 
 
-def test_draw_is_the_vector_conditioned_on_the_eligible() -> None:
+def test_draws_follow_the_probabilities_of_the_eligible_endpoints() -> None:
     automaton = automaton_with_weights(1, 2, 3, 4)
     rng = random.Random(5)
     counts = [0] * 4
@@ -125,7 +128,7 @@
     assert automaton.draw([2], 0.999999) == 2
 
 
-def test_no_endpoint_and_one_endpoint() -> None:
+def test_the_automaton_works_without_endpoints_and_with_a_single_one() -> None:
     automaton = Automaton()
     automaton.resize({})
     assert automaton.p == [] and automaton.mean() is None
@@ -137,7 +140,7 @@
 
 
 @pytest.mark.parametrize(("endpoints", "nodes"), [(500, 1), (1500, 1500)])
-def test_the_floor_leaves_room_for_any_number_of_endpoints(endpoints: int, nodes: int) -> None:
+def test_the_floor_is_feasible_for_any_number_of_endpoints(endpoints: int, nodes: int) -> None:
     automaton = Automaton(nodes)
     automaton.resize({i.to_bytes(2, "big"): 1.0 for i in range(endpoints)})
     assert len(automaton.p) == len(automaton.endpoints) == endpoints
@@ -160,20 +163,20 @@
     automaton = automaton_with_weights(1, 1, 1, 1)
     rng = random.Random(11)
 
-    def run(slow: float) -> float:
-        """The mean share of the first endpoint over the second half of a run."""
+    def run(latency_factor: float) -> float:
+        """Return the mean share of the first endpoint over the second half of a run."""
         share = 0.0
         for step in range(3000):
             i = automaton.draw(range(4), rng.random())
-            base = slow if i == 0 else 1.0
-            # Each endpoint's latency grows with its share, as a queue's does.
+            base = latency_factor if i == 0 else 1.0
+            # As with a queue, the latency of each endpoint grows with its share.
             automaton.learn(
                 ENDPOINT_IDS[i], rng.expovariate(1.0) * 20 * base / (1.05 - min(automaton.p[i], 1.0))
             )
             share += automaton.p[0] if step >= 1500 else 0.0
         return share / 1500
 
-    assert run(4.0) < 0.17  # against 0.25 for an equal
+    assert run(4.0) < 0.17  # 0.25 if the endpoint were as fast as the others
     assert run(1.0) > 0.22
 
 
@@ -189,7 +192,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(operations)
-def test_sum_and_floor_hold_after_any_sequence(steps: list[tuple[str, int, float]]) -> None:
+def test_sum_and_floor_hold_after_any_sequence_of_operations(steps: list[tuple[str, int, float]]) -> None:
     automaton = automaton_with_weights(1, 1, 1)
     for operation, n, x in steps:
         if operation == "learn":
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer as a whole: the rules on random event streams, impossible events and settings."""
+"""Tests of the whole balancer: rules on random event streams, impossible events and invalid settings."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("hedging_allowed", [True, False])
 @pytest.mark.parametrize("tier_index", [0, 1])
-def test_the_rules_hold_on_any_event_stream(seed: int, hedging_allowed: bool, tier_index: int) -> None:
+def test_the_rules_hold_on_random_event_streams(seed: int, hedging_allowed: bool, tier_index: int) -> None:
     settings = Settings(
         classes=CLASSES,
         tier_index=tier_index,
@@ -70,13 +70,13 @@
     assert answers == [RejectRequest]
 
 
-def test_instant_responses_are_no_division_by_zero(host: SimulatedHost) -> None:
+def test_instant_responses_cause_no_division_by_zero(host: SimulatedHost) -> None:
     for _ in range(100):
         host.end_attempt(host.receive_request(), 0, Outcome.OK)
     assert all(request.answered_at is not None for request in host.requests.values())
 
 
-def test_outdated_events_are_ignored_and_impossible_ones_are_errors() -> None:
+def test_outdated_events_are_ignored_and_impossible_events_are_errors() -> None:
     balancer = Balancer(Settings(classes=(IDEMPOTENT,)), seed=1)
     assert balancer.handle(RequestAbandoned(77), 1.0) == []
     assert balancer.handle(TimerFired(9), 1.0) == []
@@ -99,7 +99,7 @@
         ("tick_ms", float("nan")),
     ],
 )
-def test_impossible_settings_name_the_field(field: str, value: object) -> None:
+def test_the_error_for_an_invalid_setting_names_the_field(field: str, value: object) -> None:
     values: dict[str, object] = {"classes": (IDEMPOTENT,), field: value}
     with pytest.raises(SettingsError, match=field):
         Settings(**values)  # type: ignore[arg-type]
--- a/tests/policy/test_circuit_breakers.py
+++ b/tests/policy/test_circuit_breakers.py
@@ -1,4 +1,4 @@
-"""Circuit breakers: an endpoint that fails one class of requests."""
+"""Tests of circuit breakers, for endpoints that fail the requests of one class."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 def serve_class(host: SimulatedHost, class_index: int, outcome: Outcome, endpoint: bytes = FAULTY) -> bool:
-    """Serve a request, with this outcome if it is sent to the endpoint; returns whether it was."""
+    """Serve a request of this class and return whether it was sent to ``endpoint``.
+
+    The attempt ends with ``outcome`` at this endpoint, and successfully at any other endpoint.
+    """
     request = host.receive_request(class_index)
     host.advance(20)
     sent_to_endpoint = host.requests[request].endpoint_of(0) == endpoint
@@ -20,7 +23,7 @@
 
 
 def serve_class_until(host: SimulatedHost, outcome: Outcome, endpoint: bytes = FAULTY) -> None:
-    """Serve non-idempotent requests until one at this endpoint has had this outcome."""
+    """Serve non-idempotent requests until a request has ended with this outcome at this endpoint."""
     while not serve_class(host, NON_IDEMPOTENT_CLASS, outcome, endpoint):
         pass
 
@@ -32,7 +35,7 @@
 
 
 def test_an_endpoint_that_fails_one_class_serves_the_others(two_class_host: SimulatedHost) -> None:
-    """A successful trial with another class must not readmit the class that fails."""
+    """A successful trial with a request of another class must not readmit the class that fails."""
     host = two_class_host
     for _ in range(200):
         serve_class(host, IDEMPOTENT_CLASS, Outcome.OK)
@@ -46,15 +49,17 @@
         for request in host.requests.values()
         if request.request_class is NON_IDEMPOTENT and request.attempts[-1].outcome is Outcome.ERROR
     ]
-    # In 8 s there are two or three trials; without a circuit breaker dozens would be lost.
+    # In 8 s there are two or three trials; without a circuit breaker dozens of requests would fail.
     assert len(failed_requests) <= 2 + 3
     action_count = len(host.actions)
     for _ in range(60):
         serve_class(host, IDEMPOTENT_CLASS, Outcome.OK)
-    assert FAULTY in host.endpoints_sent_to(action_count), "the class that it serves well went elsewhere"
+    assert FAULTY in host.endpoints_sent_to(
+        action_count
+    ), "no request of the class that it serves was sent to it"
 
 
-def test_a_circuit_breaker_closes_after_good_trials(two_class_host: SimulatedHost) -> None:
+def test_a_circuit_breaker_closes_after_successful_trials(two_class_host: SimulatedHost) -> None:
     host = two_class_host
     host.serve(30)
     open_circuit_breaker(host)
@@ -63,15 +68,15 @@
         serve_class(host, NON_IDEMPOTENT_CLASS, Outcome.OK)
     requests = [host.receive_request(NON_IDEMPOTENT_CLASS) for _ in range(18)]
     endpoints = [host.requests[r].endpoint_of(0) for r in requests]
-    assert endpoints.count(FAULTY) >= 2  # no longer one at a time
+    assert endpoints.count(FAULTY) >= 2  # no longer a single trial at a time
     host.end_attempts(requests)
     serve_class_until(host, Outcome.ERROR)
-    (opened,) = host.log_fields("circuit_breaker_opened")  # one error more does not open it
+    (opened,) = host.log_fields("circuit_breaker_opened")  # one more error does not open it again
     assert opened["endpoint"] == FAULTY and opened["class"] == "w"
 
 
-def test_errors_from_further_in_that_meet_all_endpoints_open_no_circuit_breaker() -> None:
-    """An inner tier fails one request in twelve, so that two errors in a row at an endpoint may be chance."""
+def test_errors_of_an_inner_tier_at_all_endpoints_open_no_circuit_breaker() -> None:
+    """An inner tier fails one request in twelve, so two errors in a row at one endpoint may be chance."""
     host = make_host(IDEMPOTENT, NON_IDEMPOTENT, endpoint_count=4, tier_count=2)
     endpoint = bytes([0])
     for number in range(240):
@@ -88,7 +93,7 @@
     assert not host.log_fields("circuit_breaker_opened")
 
 
-def test_one_error_after_a_good_trial_does_not_open_the_circuit_breaker_again() -> None:
+def test_one_error_after_a_successful_trial_does_not_open_the_circuit_breaker_again() -> None:
     """The failure rate from before the trial must not count: the next error may come from an inner tier."""
     host = make_host(IDEMPOTENT, NON_IDEMPOTENT, warm_up_ms=1000.0)
     host.serve(60)
@@ -98,5 +103,5 @@
     serve_class_until(host, Outcome.ERROR)
     failed_at = host.now
     serve_class_until(host, Outcome.OK)
-    assert host.now - failed_at < 1500.0  # an opened breaker of this class stays open for 3 s or more
+    assert host.now - failed_at < 1500.0  # a circuit breaker of this class is open for at least 3 s
     assert len(host.log_fields("circuit_breaker_opened")) == 1
--- a/tests/policy/test_congestion.py
+++ b/tests/policy/test_congestion.py
@@ -1,4 +1,4 @@
-"""The congestion signal and its baseline latency, by the load shedding that they start and stop."""
+"""Tests of the congestion signal and its baseline latency, which start and stop load shedding."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 # ---------------------------------------------------------------- congestion
 
 
-def test_rising_latency_starts_load_shedding_and_the_baseline_stops_it() -> None:
+def test_rising_latency_starts_load_shedding_and_baseline_latency_stops_it() -> None:
     host = make_host(endpoint_count=4)
     host.serve(100, latency_ms=20.0)
     assert host.log_lines() == []
@@ -28,7 +28,7 @@
 
 
 def test_few_responses_signal_congestion_sooner_than_many() -> None:
-    """Five responses of twice the baseline come when the servers are overloaded already."""
+    """By the time of five responses at twice the baseline latency, the servers are already overloaded."""
     events = []
     for pause_ms in (5.0, 2000.0):
         host = make_host()
@@ -45,7 +45,7 @@
 def test_rejections_signal_congestion_only_if_more_than_a_third_of_the_endpoints_reject(
     rejecting: int, sheds: bool
 ) -> None:
-    """Latencies stay just inside their target, so that a single rejection counted starts load shedding.
+    """Latencies stay just below their target, so that a single rejection that counts starts load shedding.
 
     Servers that drain one after another reject requests without any congestion.
     """
@@ -71,7 +71,7 @@
     assert bool(host.log_fields("load_shedding_started")) is sheds
 
 
-def test_a_fleet_that_rejects_everything_is_congested() -> None:
+def test_rejections_of_all_requests_start_load_shedding() -> None:
     host = make_host(endpoint_count=5)
     host.serve(60)
     for _ in range(40):
@@ -85,12 +85,12 @@
 # ---------------------------------------------------------------- the baseline
 
 
-def test_the_quick_responses_of_the_first_moments_are_no_baseline() -> None:
-    """Of requests sent together the quick ones end first, which must not set the baseline."""
+def test_the_first_quick_responses_do_not_set_the_baseline() -> None:
+    """Of requests sent together the quickest end first; their latencies must not set the baseline."""
     host = make_host(endpoint_count=30)
     requests = [host.receive_request() for _ in range(150)]
     sent = [r for r in requests if host.requests[r].attempts]
-    for request in sent[:60]:  # the quick ones
+    for request in sent[:60]:  # the quickest responses
         host.advance(1)
         host.end_attempt(request, 0, Outcome.OK)
     for _ in range(10):
@@ -104,8 +104,8 @@
     assert not host.log_fields("load_shedding_started")
 
 
-def test_the_responses_of_an_empty_fleet_are_no_baseline() -> None:
-    """The usual mean latency may be twice that of a node's first few responses."""
+def test_the_first_responses_of_an_idle_fleet_do_not_set_the_baseline() -> None:
+    """The usual mean latency may be twice the mean latency of a node's first few responses."""
     host = make_host(SLOW_CLASS)
     host.serve(12, latency_ms=50.0)
     host.serve(60, latency_ms=150.0)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which endpoints are used and remembered, and how the list is polled for."""
+"""Tests of the endpoint list: which endpoints are used and remembered, and how the list is polled."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def polling_host(settings: Settings = POLLING_SETTINGS, seed: int = 5) -> SimulatedHost:
-    """A host that has started with a cached list and polls for a fresh one."""
+    """Return a host that has started with a cached endpoint list and polls for a current list."""
     host = SimulatedHost(settings, seed)
     host.update_endpoints([Endpoint(b"a")], EndpointListKind.CACHED)
     return host
 
 
-# ---------------------------------------------------------------- the list
+# ---------------------------------------------------------------- the endpoint list
 
 
 def test_draining_removed_and_unlisted_endpoints_get_no_requests() -> None:
@@ -53,7 +53,7 @@
     assert {host.requests[r].endpoint_of(0) for r in queued} == {bytes([1])}
 
 
-def test_removed_endpoints_are_forgotten(host: SimulatedHost) -> None:
+def test_removed_endpoints_do_not_stay_in_memory(host: SimulatedHost) -> None:
     for generation in range(50):
         host.update_endpoints(Endpoint(b"%d/%d" % (generation, i)) for i in range(6))
         host.serve(3)
@@ -66,7 +66,7 @@
     unused = {b"%d" % i for i in range(1500)}
     host.update_endpoints(Endpoint(endpoint) for endpoint in sorted(unused))
     assert endpoints_in_memory(host.balancer) == unused
-    while unused:  # at one moment, while each that rejected a request cools down
+    while unused:  # no time passes: endpoints that rejected a request stay in cooldown
         request = host.receive_request()
         for number in host.in_flight(request):
             unused.remove(host.requests[request].endpoint_of(number))
@@ -77,7 +77,7 @@
 # ---------------------------------------------------------------- polling
 
 
-def test_polls_back_off_while_they_fail_and_end_with_a_watch_event() -> None:
+def test_polls_back_off_while_they_fail_and_stop_after_a_watch_event() -> None:
     host = polling_host(Settings(classes=(IDEMPOTENT,), poll_endpoint_list=True, poll_within_ms=10_000.0), 4)
     times: list[float] = []
     for _ in range(4000):
@@ -107,13 +107,13 @@
             times.append(host.now)
             host.fail_poll()
     gaps = [b - a for a, b in pairwise(times)]
-    # A tenth of poll_within_ms at first; half of each pause is left to chance.
+    # The first backoff is a tenth of poll_within_ms; half of each pause is random.
     assert 200.0 <= gaps[0] <= 410.0 <= gaps[1] <= 810.0
     assert all(500.0 <= gap <= 1010.0 for gap in gaps[2:])
 
 
 def test_failed_polls_do_not_multiply() -> None:
-    """With a second timer for every failed poll, polls would double with each backoff."""
+    """If every failed poll set a second timer, the number of polls would double with each backoff."""
     host = polling_host()
     answered = 0
     per_second = []
@@ -126,7 +126,7 @@
                 host.fail_poll()
         per_second.append(host.polls - before)
     assert max(per_second) <= 3, per_second
-    assert sum(per_second[-20:]) >= 5  # it goes on polling: a change counts as notified after a while
+    assert sum(per_second[-20:]) >= 5  # polls go on, as a change counts as notified after a while
 
 
 def test_an_unanswered_poll_is_repeated_in_time() -> None:
@@ -141,9 +141,9 @@
 def test_two_failed_polls_leave_time_for_a_third_within_6_s(
     poll_within_ms: float, answer_ms: float | None
 ) -> None:
-    """Each poll fails after this time or is not answered at all, also the first of a new node.
+    """Each poll, including the first of a new node, fails after ``answer_ms`` or (if None) is not answered.
 
-    Whatever the settings allow, a change counts as notified 6 s after discovery had it.
+    Whatever the settings allow, a change counts as notified 6 s after discovery has learned of it.
     """
     settings = replace(POLLING_SETTINGS, poll_within_ms=poll_within_ms)
     for seed in range(20):
@@ -157,10 +157,10 @@
                 failed = len(polls)
                 host.fail_poll()
         assert polls[0] < 3000.0
-        assert max(b - a for a, b in pairwise(polls)) < 3000.0, "two failures leave time for a third poll"
+        assert max(b - a for a, b in pairwise(polls)) < 3000.0, "two failed polls must leave time for a third"
 
 
-def test_years_of_failed_polls_do_not_stop_a_node() -> None:
+def test_thousands_of_failed_polls_do_not_stop_polling() -> None:
     host = polling_host()
     for _ in range(3000):
         host.fail_poll()
@@ -169,8 +169,8 @@
     assert host.polls == before + 1
 
 
-def test_wake_ups_do_not_multiply_while_polls_fail() -> None:
-    """A timer is always pending then, and an earlier one must not leave another wake-up pending."""
+def test_timers_do_not_accumulate_while_polls_fail() -> None:
+    """A timer is always pending while polls fail; setting an earlier timer must not add a pending timer."""
     host = make_host(poll_endpoint_list=True, poll_within_ms=6000.0)
     for step in range(300):
         if step % 5 == 0:
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -1,4 +1,4 @@
-"""Ejection, health checks, trials, silence and cooldown."""
+"""Tests of ejection, health checks, trials, silent endpoints and cooldown."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         for line in host.log_lines()
     )
     assert CloseIdleConnections(FAULTY) in host.actions
-    for _ in range(60):  # it comes back by a health check and one good trial
+    for _ in range(60):  # a health check and one successful trial readmit the endpoint
         host.advance(20)
         while host.health_checks:
             host.handle(HealthCheckEnded(host.health_checks.pop(), Outcome.OK, 1.0))
@@ -44,7 +44,7 @@
     assert FAULTY not in host.endpoints_sent_to(action_count)
 
 
-def test_errors_of_all_endpoints_eject_a_third_at_most() -> None:
+def test_errors_of_all_endpoints_eject_at_most_a_third() -> None:
     host = make_host(endpoint_count=9)
     for _ in range(100):
         request = host.receive_request()
@@ -61,15 +61,15 @@
         host.serve(1, failing=FAULTY)
     since = len(host.actions)
     host.update_endpoints(Endpoint(bytes([i])) for i in range(6) if bytes([i]) != FAULTY)
-    host.advance(5000)  # past the end of its ejection
+    host.advance(5000)  # beyond the end of its ejection
     assert CheckHealth(FAULTY) not in host.actions[since:]
     assert FAULTY not in endpoints_in_memory(host.balancer)
 
 
-# ---------------------------------------------------------------- silence and cooldown
+# ---------------------------------------------------------------- silent endpoints and cooldown
 
 
-def test_a_silent_endpoint_is_skipped(host: SimulatedHost) -> None:
+def test_a_silent_endpoint_gets_no_requests(host: SimulatedHost) -> None:
     host.serve(60)
     silent = host.requests[host.receive_request()].endpoint_of(0)
     for _ in range(10):
@@ -80,7 +80,7 @@
     action_count = len(host.actions)
     for _ in range(40):
         host.end_attempt(host.receive_request(), 0, Outcome.OK)
-    for _ in range(24):  # so many that its limit would allow for more
+    for _ in range(24):  # with so many, the limit of the silent endpoint would allow more
         host.receive_request()
     assert len(host.endpoints_sent_to(action_count)) == 64
     assert silent not in host.endpoints_sent_to(action_count)
@@ -88,15 +88,17 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.TIMEOUT])
 @pytest.mark.parametrize("answers", [False, True])
-def test_a_late_outcome_cools_an_endpoint_down_only_if_it_was_silent(outcome: Outcome, answers: bool) -> None:
-    """At a node with few requests the average of an overloaded server shows that too late."""
+def test_a_late_outcome_starts_a_cooldown_only_if_the_endpoint_was_silent(
+    outcome: Outcome, answers: bool
+) -> None:
+    """At a node with few requests, the latency average of an overloaded server rises too late."""
     host = make_host(endpoint_count=5)
     host.serve(60)
     late = host.receive_request()
     endpoint = host.requests[late].endpoint_of(0)
     others = [host.receive_request() for _ in range(12)]
     host.now += 100.0
-    for request in others:  # the silent endpoint answers none of them before the late one
+    for request in others:  # a silent endpoint answers none of these before the late request
         for number in list(host.in_flight(request)):
             if answers or host.requests[request].endpoint_of(number) != endpoint:
                 host.end_attempt(request, number, Outcome.OK)
@@ -113,8 +115,8 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.NOT_SENT])
-def test_a_fleet_that_slows_down_as_one_cools_down_a_third_at_most(outcome: Outcome) -> None:
-    """Cooldown is for an endpoint that is slower than its peers; attempt timeouts follow the fleet."""
+def test_a_slowdown_of_all_endpoints_starts_the_cooldown_of_at_most_a_third(outcome: Outcome) -> None:
+    """Cooldown is for an endpoint that is slower than its peers; attempt timeouts adapt to the fleet."""
     host = make_host(endpoint_count=9, max_attempts=1)
     host.serve(60)
     requests = [host.receive_request() for _ in range(9)]
@@ -122,13 +124,13 @@
     host.now += 600.0
     host.end_attempts(requests, outcome)
     action_count = len(host.actions)
-    for _ in range(60):  # at one moment, during the cooldown
+    for _ in range(60):  # no time passes: the cooldown lasts
         host.end_attempt(host.receive_request(), 0, Outcome.OK)
     assert len(set(host.endpoints_sent_to(action_count))) >= 6
 
 
-def test_an_endpoint_that_rejects_all_requests_is_left_alone_for_a_while() -> None:
-    """Servers may drain before the endpoint list says so, which is no congestion."""
+def test_an_endpoint_that_rejects_all_requests_gets_few_requests_for_a_while() -> None:
+    """Servers may drain before the endpoint list says so; their rejections are no sign of congestion."""
     host = make_host(endpoint_count=5)
     host.serve(60)
     since = len(host.actions)
@@ -136,4 +138,4 @@
     assert host.log_lines() == []
     assert host.endpoints_sent_to(since).count(FAULTY) <= 8
     host.serve(200)
-    assert FAULTY in host.endpoints_sent_to(len(host.actions) - 600), "it never came back"
+    assert FAULTY in host.endpoints_sent_to(len(host.actions) - 600), "the endpoint got no requests again"
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries, hedged requests, the retry budget and the answers to requests that are not served."""
+"""Tests of retries, hedged requests, the retry budget and the answers to requests that are not served."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def host_with_cells(request_class: RequestClass, count: int, **settings: object) -> SimulatedHost:
-    """A host with a list of endpoints in cells."""
+    """Return a host with a list of endpoints in cells."""
     host = make_host(request_class, endpoint_count=0, seed=3, health_checks_allowed=True, **settings)
     host.update_endpoints(endpoints_in_cells(count))
     return host
@@ -25,7 +25,7 @@
 
 
 def test_a_non_idempotent_request_is_retried_only_while_it_provably_did_not_run() -> None:
-    # A window is of no use to a class without keys.
+    # A deduplication window has no effect for a class without idempotency keys.
     host = host_with_cells(replace(NON_IDEMPOTENT, deduplication_window_ms=1500.0), 4)
     request = host.receive_request()
     host.end_attempt(request, 0, Outcome.CONNECT_FAILED)
@@ -48,7 +48,7 @@
     host = host_with_cells(keyed(scope, window_ms), 6, hedging_allowed=False)
     request = host.receive_request()
     host.end_attempt(request, 0, Outcome.ERROR)
-    assert len(host.requests[request].attempts) == 2  # the host has checked the scope
+    assert len(host.requests[request].attempts) == 2  # the host has checked the deduplication scope
     host.now += window_ms
     host.end_attempt(request, 1, Outcome.ERROR)
     assert len(host.requests[request].attempts) == 2
@@ -59,7 +59,7 @@
 def test_a_keyed_retry_leaves_time_for_its_connection_within_the_window(
     ended_ms: float, retried: bool
 ) -> None:
-    """A retry that is sent within the window may be written after it, once its connection is established."""
+    """A retry sent within the window waits for its connection and may be written after the window's end."""
     host = make_host(
         keyed(DeduplicationScope.ALL, 1000.0),
         endpoint_count=2,
@@ -77,7 +77,7 @@
     assert bool(list(host.in_flight(request))) == retried
 
 
-def test_a_client_error_is_not_retried_and_is_not_held_against_the_endpoint(host: SimulatedHost) -> None:
+def test_a_client_error_is_not_retried_and_does_not_count_against_the_endpoint(host: SimulatedHost) -> None:
     for _ in range(40):
         request = host.receive_request()
         host.advance(10)
@@ -95,7 +95,7 @@
     unsent = [r for r in requests if not host.requests[r].attempts]
     assert unsent
     host.advance(60)
-    for _ in range(100):  # every timer that is left, and capacity for all
+    for _ in range(100):  # all remaining timers fire, and there is capacity for all requests
         host.advance(50)
         host.end_attempts(requests)
     answers = [a.request_id for a in host.actions if isinstance(a, RejectRequest | FailRequest)]
@@ -105,8 +105,8 @@
 
 
 @pytest.mark.parametrize(("remaining_ms", "sent"), [(0.0, False), (4.0, False), (50.0, True)])
-def test_nothing_is_sent_within_a_tick_of_the_deadline(remaining_ms: float, sent: bool) -> None:
-    """Events may come later than the timer that would have rejected the request."""
+def test_no_attempt_is_sent_within_a_tick_of_the_deadline(remaining_ms: float, sent: bool) -> None:
+    """An event may arrive when the timer that rejects the request is due but has not fired yet."""
     host = host_with_cells(IDEMPOTENT, 0)
     request = host.receive_request()
     host.now = host.requests[request].deadline - remaining_ms
@@ -118,7 +118,10 @@
 def test_the_last_check_before_a_send_rejects_what_earlier_checks_should_have_filtered(
     hedging_allowed: bool,
 ) -> None:
-    """No event fails these checks, as earlier ones filter the same cases: they are called directly."""
+    """The test calls these checks directly, because earlier checks filter the same cases.
+
+    So there is no event for which these checks fail.
+    """
     host = host_with_cells(IDEMPOTENT, 3, hedging_allowed=hedging_allowed, max_attempts=2)
     context = host.balancer.context
     requests = context.requests
@@ -135,11 +138,11 @@
     assert not may_send(context, request, other)
     request.response_started = False
     requests.start_attempt(request, other, host.now)
-    assert not may_send(context, request, other)  # no more than the attempts allowed
+    assert not may_send(context, request, other)  # the maximum number of attempts is reached
     request.attempts.pop()
     assert may_send(context, request, other) is hedging_allowed
     assert requests.take(request.id) is request
-    assert requests.take(request.id) is None  # one final answer
+    assert requests.take(request.id) is None  # a request gets only one final answer
     assert not may_send(context, request, other)
 
 
@@ -153,19 +156,19 @@
     request = host.receive_request()
     before = len(host.requests[request].attempts)
     for _ in range(30):
-        host.now += 10  # attempts do not time out: only the balancer's own timers run
+        host.now += 10  # attempts do not time out; only timers of the balancer fire
         host.fire_due_timers()
     assert (len(host.requests[request].attempts) > before) is hedging_allowed
     assert before == 1
-    if not hedging_allowed:  # it is cancelled instead, and sent again once that is done
+    if not hedging_allowed:  # the attempt is cancelled instead; then the request is sent again
         assert CancelAttempt(request, 0) in host.actions
         host.end_attempt(request, 0, Outcome.CANCELLED)
         assert len(host.requests[request].attempts) == 2
 
 
 @pytest.mark.parametrize("answers", [True, False])
-def test_a_late_attempt_is_hedged_only_if_its_endpoint_answers_nobody(answers: bool) -> None:
-    """Long work on a healthy server must not be cancelled and sent again."""
+def test_a_late_attempt_is_hedged_only_if_its_endpoint_answers_no_request(answers: bool) -> None:
+    """A request that takes long on a healthy server must not be cancelled and sent again."""
     host = make_host(endpoint_count=2)
     host.serve(60, latency_ms=60.0)
     late = host.receive_request()
@@ -180,7 +183,7 @@
 
 
 def test_an_inner_tier_hedges_while_its_latency_is_twice_the_baseline() -> None:
-    """Without hedging a request at a silent server would wait for its deadline."""
+    """Without hedging, a request at a silent server would wait until its deadline."""
     host = make_host(tier_index=2, tier_count=3)
     host.serve(200, latency_ms=20.0)
     host.serve(100, latency_ms=70.0)
@@ -201,7 +204,7 @@
             host.advance(20.0)
             host.end_attempts([request], Outcome.TIMEOUT)
         retries.append(len(host.requests[request].attempts) - 1)
-    assert sum(retries) == 10  # the whole budget, to less than one
+    assert sum(retries) == 10  # the retry budget is used up, except for less than one retry
     late = host.receive_request()
     host.advance(200.0)
     assert len(host.requests[late].attempts) == 1
@@ -211,10 +214,10 @@
 
 
 @pytest.mark.parametrize("max_attempts", [2, 3])
-def test_a_hedge_timer_respects_the_attempts_that_a_retry_has_used(max_attempts: int) -> None:
+def test_a_hedge_timer_counts_the_attempts_that_a_retry_has_used(max_attempts: int) -> None:
     host = host_with_cells(IDEMPOTENT, 4, max_attempts=max_attempts)
     host.serve(20)
-    # Requests that hang at every endpoint, so that each counts as silent before the timer is due.
+    # Every endpoint has requests without a response, so that it counts as silent before the timer is due.
     request, *_ = [host.receive_request() for _ in range(20)]
     host.end_attempt(request, 0, Outcome.RESET)
     assert len(host.requests[request].attempts) == 2
@@ -229,10 +232,10 @@
 @pytest.mark.parametrize(
     ("quiet_ms", "class_index", "closes"), [(5, 1, False), (100, 0, False), (100, 1, True)]
 )
-def test_a_non_idempotent_request_gets_a_new_connection_to_an_endpoint_not_heard_of_lately(
+def test_a_non_idempotent_request_gets_a_new_connection_to_an_endpoint_without_recent_responses(
     quiet_ms: float, class_index: int, closes: bool
 ) -> None:
-    """A machine that has failed may leave its connections open without an answer."""
+    """A machine that has failed may leave its connections open and not answer on them."""
     host = make_host(IDEMPOTENT, NON_IDEMPOTENT)
     host.serve(60)
     burst = [host.receive_request() for _ in range(24)]
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoints may be drawn: the vector, per-endpoint limits, subsets and zone affinity."""
+"""Tests of the selection of endpoints: probability vector, per-endpoint limits, subsets and zone affinity."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 NODES = 400
 
 
-# ---------------------------------------------------------------- the ordinary path
+# ---------------------------------------------------------------- the probability vector
 
 
 @pytest.mark.parametrize("slow_ms", [20.0, 35.0])
-def test_on_the_ordinary_path_the_vector_alone_decides(host: SimulatedHost, slow_ms: float) -> None:
-    """One request at a time on a healthy fleet: an automaton with the same input predicts the draws."""
+def test_with_healthy_endpoints_the_vector_alone_decides(host: SimulatedHost, slow_ms: float) -> None:
+    """Healthy endpoints serve one request at a time; an automaton with the same input predicts the draws."""
     automaton = Automaton()
     automaton.resize(dict.fromkeys(host.endpoints, 1.0))
     slow = bytes([2])
@@ -52,7 +52,7 @@
     assert not any(isinstance(a, RejectRequest | CancelAttempt | CloseIdleConnections) for a in host.actions)
     for endpoint in host.endpoints:
         assert abs(sent.count(endpoint) - expected[endpoint]) / 3000 < 0.03
-    assert (expected[slow] < 400) is (slow_ms > 20.0)  # of 500 for an equal
+    assert (expected[slow] < 400) is (slow_ms > 20.0)  # 500 if it were as fast as the others
     assert host.log_lines() == []
 
 
@@ -70,13 +70,13 @@
 
 
 def test_a_full_endpoint_gets_a_concurrency_limit_and_is_not_ejected() -> None:
-    """A server that accepts no further connection but answers others is full, not dead."""
+    """A server that accepts no new connection but answers on its other connections is full, not down."""
     host = make_host(endpoint_count=3)
     host.serve(40)
     requests = [host.receive_request() for _ in range(12)]
     full = host.requests[requests[0]].endpoint_of(0)
     requests_at_full = [r for r in requests if host.requests[r].endpoint_of(0) == full]
-    host.end_attempt(requests_at_full[0], 0, Outcome.OK)  # it answers, so it is not dead
+    host.end_attempt(requests_at_full[0], 0, Outcome.OK)  # the endpoint answers, so it is not down
     host.end_attempt(requests_at_full[-1], 0, Outcome.CONNECT_FAILED)
     for _ in range(2):  # during its cooldown and after it
         for _ in range(10):
@@ -84,7 +84,7 @@
         in_flight = [host.requests[r].endpoint_of(number) for r, number in host.all_in_flight()]
         assert in_flight.count(full) <= len(requests_at_full) - 1
         host.now += 21.0
-        for request, number in host.all_in_flight():  # the others have capacity again
+        for request, number in host.all_in_flight():  # the other endpoints have capacity again
             if host.requests[request].endpoint_of(number) != full:
                 host.end_attempt(request, number, Outcome.OK)
     assert not host.log_fields("endpoint_ejected")
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("cost", [0.0, 0.1])
-def test_requests_stay_in_the_zone_only_where_crossing_has_a_cost(cost: float) -> None:
+def test_requests_stay_in_the_zone_only_if_crossing_zones_has_a_cost(cost: float) -> None:
     host = make_host(endpoint_count=6, cross_zone_cost=cost, zone_count=3, zone=1)
     host.serve(60)
     zones = {host.endpoints[endpoint].zone for endpoint in host.endpoints_sent_to()}
@@ -105,7 +105,7 @@
 
 
 class Node:
-    """One of many nodes, and the endpoints that it sends to."""
+    """One of many nodes, whose selection of endpoints the tests observe."""
 
     def __init__(
         self,
@@ -128,38 +128,41 @@
         self._balancer.handle(EndpointListUpdate(EndpointListKind.FULL, tuple(rows)), 1.0)
 
     def subset(self, draws: int = 100) -> set[EndpointId]:
-        """The endpoints that get requests while nothing else is in flight, out of so many draws."""
+        """Return the endpoints that get any of ``draws`` requests while nothing else is in flight."""
         endpoints = set()
         for _ in range(draws):
-            # The node does not learn from a client error, so that all draws are alike.
+            # The node does not learn from a client error, so that all draws have the same probabilities.
             endpoints.update(self.send({}, Outcome.CLIENT_ERROR))
         return endpoints
 
-    def send(self, outcomes: dict[EndpointId, Outcome], otherwise: Outcome) -> list[EndpointId]:
-        """The endpoints that a request is sent to; each attempt ends at once with its endpoint's outcome."""
+    def send(self, outcomes: dict[EndpointId, Outcome], default_outcome: Outcome) -> list[EndpointId]:
+        """Send a request and return the endpoints of its attempts.
+
+        Each attempt ends at once, with the outcome of its endpoint or else with ``default_outcome``.
+        """
         self._requests += 1
         actions = self._balancer.handle(RequestArrived(self._requests, 0, 3000.0), 10.0)
         endpoints = [a.endpoint_id for a in actions if isinstance(a, SendAttempt)]
-        for number, endpoint in enumerate(endpoints):  # a retry comes up here too
-            outcome = outcomes.get(endpoint, otherwise)
+        for number, endpoint in enumerate(endpoints):  # the loop also visits retries
+            outcome = outcomes.get(endpoint, default_outcome)
             ended = AttemptEnded(self._requests, number, endpoint, outcome, 0.0, False)
             actions = self._balancer.handle(ended, 10.0)
             endpoints += [a.endpoint_id for a in actions if isinstance(a, SendAttempt)]
         return endpoints
 
     def drain(self, endpoint: EndpointId) -> None:
-        """The endpoint list says that this endpoint drains."""
+        """Update the endpoint list: this endpoint is draining."""
         row = Endpoint(endpoint, EndpointState.DRAINING)
         self._balancer.handle(EndpointListUpdate(EndpointListKind.DELTA, (row,)), 10.0)
 
 
 def endpoint_index(endpoint: EndpointId) -> int:
-    """The position of a node's endpoint in its first list."""
+    """Return the index of an endpoint in the first endpoint list of a node."""
     return int.from_bytes(endpoint, "big")
 
 
-def test_subsets_cover_all_endpoints_alike_and_hold_every_machine_type() -> None:
-    """Without subsets a node of many sends each of sixty endpoints too few requests to learn from them."""
+def test_subsets_cover_all_endpoints_evenly_and_contain_every_machine_type() -> None:
+    """Without subsets, each of many nodes would send too few requests to each endpoint to learn from them."""
     node_counts: Counter[EndpointId] = Counter()
     for index in range(NODES):
         subset = Node(index).subset()
@@ -175,16 +178,16 @@
     assert len(Node(index, nodes, endpoints).subset(draws=1000)) == endpoints
 
 
-def test_a_subset_lies_in_the_zone_where_crossing_has_a_cost() -> None:
+def test_a_subset_stays_in_the_zone_if_crossing_zones_has_a_cost() -> None:
     node = Node(7, cross_zone_cost=0.02, zone=1)
     assert {endpoint_index(endpoint) % 3 for endpoint in node.subset()} == {1}
 
 
-def test_a_change_of_the_list_moves_few_endpoints_of_a_subset() -> None:
-    moved = 0
+def test_a_change_of_the_endpoint_list_replaces_few_endpoints_of_a_subset() -> None:
+    replaced = 0
     for index in range(ENDPOINTS):
-        moved += len(Node(index).subset() - Node(index, absent=frozenset({5})).subset())
-    assert moved < ENDPOINTS  # less than one of six or more each
+        replaced += len(Node(index).subset() - Node(index, absent=frozenset({5})).subset())
+    assert replaced < ENDPOINTS  # on average less than one of the six or more endpoints of a subset
 
 
 def test_a_subset_that_has_drained_is_replaced() -> None:
@@ -196,11 +199,11 @@
     assert SUBSET_MIN <= len(new_subset) <= SUBSET_MAX and not new_subset & drained_subset
 
 
-def test_requests_leave_a_subset_that_rejects_them() -> None:
+def test_requests_are_sent_outside_a_subset_that_rejects_them() -> None:
     node = Node(7)
     subset = node.subset()
     rejections = dict.fromkeys(subset, Outcome.REJECTED)
     sent: set[EndpointId] = set()
-    for _ in range(100):  # at one moment: those that rejected a request cool down meanwhile
+    for _ in range(100):  # no time passes: endpoints that rejected a request stay in cooldown
         sent.update(node.send(rejections, Outcome.CLIENT_ERROR))
     assert len(subset - sent) < 2 <= len(sent - subset)
--- a/tests/test_settings_format.py
+++ b/tests/test_settings_format.py
@@ -1,4 +1,4 @@
-"""Settings from the documented path to value pairs."""
+"""Tests of reading the settings from pairs of a documented path and a value."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.simulator.frames import settings_values
 
 
-def test_unknown_paths_are_ignored_and_absent_ones_have_defaults() -> None:
+def test_unknown_paths_are_ignored_and_missing_paths_have_defaults() -> None:
     settings = read_settings(
         settings_values(
             {"new.key": "7", "familyInfo.passesDeadline": "", "layers": "a,b,c", "stage": "1"},
@@ -44,7 +44,7 @@
         ("guarantees.coldMs", "nan"),
     ],
 )
-def test_unusable_value_is_an_error_that_names_the_path(path: str, value: str | None) -> None:
+def test_invalid_value_is_an_error_that_names_the_path(path: str, value: str | None) -> None:
     with pytest.raises(SettingsError) as caught:
         read_settings(settings_values({path: value}))
     assert caught.value.key == path
