--- a/tests/policy/simulated_fleet.py
+++ b/tests/policy/simulated_fleet.py
@@ -31,13 +31,13 @@
 WARM_UNITS_PER_S = 20.0
 """The units of work that a warm server completes per second."""
 REPLACED_AT_MS = 8_000.0
-"""The time at which servers are replaced."""
+"""The time at which servers are replaced, in milliseconds."""
 END_AT_MS = 11_000.0
-"""The time at which the simulation ends."""
+"""The time at which the simulation ends, in milliseconds."""
 NOTIFIED_WITHIN_MS = 200.0
-"""The maximum time from the replacement of servers until a node is notified of it."""
+"""The maximum time from the replacement of servers until a node is notified of the replacement."""
 TIMEOUT_MS = 2800.0
-"""The latency from which on an attempt times out."""
+"""The minimum latency, in milliseconds, of an attempt that times out."""
 
 
 @dataclass
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -80,7 +80,7 @@
     action_count = len(host.actions)
     for _ in range(40):
         host.end_attempt(host.receive_request(), 0, Outcome.OK)
-    for _ in range(24):  # with so many, the limit of the silent endpoint would allow more
+    for _ in range(24):  # enough that the limit of the silent endpoint would allow more
         host.receive_request()
     assert len(host.endpoints_sent_to(action_count)) == 64
     assert silent not in host.endpoints_sent_to(action_count)
