--- a/tests/policy/overload_helpers.py
+++ b/tests/policy/overload_helpers.py
@@ -11,18 +11,24 @@
 SLOWEST_CLASS = RequestClass("r", 4500, 9000)
 """A class with a latency objective of 4.5 s."""
 INITIAL_LIMIT_PER_SERVER = 6
-"""The initial concurrency limit of a node, in attempts in flight per warm server's worth of capacity."""
+"""The initial limit on a node's attempts in flight per warm server.
+
+A server that is warming up counts as a fraction of a warm server.
+"""
 
 
 def endpoint_ids(count: int) -> list[bytes]:
-    """Return the ids of the first ``count`` endpoints."""
+    """Return ``count`` endpoint ids, each a single byte, beginning with the byte 0."""
     return [bytes([n]) for n in range(count)]
 
 
 def end_attempts_older_than(
     host: SimulatedHost, age_ms: float, outcome: Outcome, max_count: int | None = None
 ) -> None:
-    """End the attempts in flight for at least this time; at most ``max_count`` if that is given."""
+    """End the attempts that have been in flight for at least ``age_ms``.
+
+    If ``max_count`` is given, end at most that many of them, in the order of their request numbers.
+    """
     attempts = [
         (request, number)
         for request, number in host.all_in_flight()
--- a/tests/policy/random_events.py
+++ b/tests/policy/random_events.py
@@ -1,4 +1,4 @@
-"""A random stream, from a seed, of all events that a host may pass to a balancer."""
+"""A random stream, determined by a seed, of the events that a host may pass to a balancer."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 
     def _step(self) -> None:
         host, rng = self._host, self._random
-        kind = rng.random()
+        draw = rng.random()
         in_flight = host.all_in_flight()
-        if kind < 0.35:
+        if draw < 0.35:
             class_index = rng.randrange(len(host.settings.classes))
             host.receive_request(class_index, rng.choice([None, 30.0, 400.0]))
-        elif kind < 0.65 and in_flight:
+        elif draw < 0.65 and in_flight:
             request, number = rng.choice(in_flight)
             host.end_attempt(request, number, rng.choice([*Outcome, Outcome.OK, Outcome.OK]))
-        elif kind < 0.7:
+        elif draw < 0.7:
             self._update_endpoints()
-        elif kind < 0.73:
+        elif draw < 0.73:
             self._abandon(rng.randrange(1, host.next_request + 1))
-        elif kind < 0.76 and host.health_checks:
+        elif draw < 0.76 and host.health_checks:
             outcome = rng.choice(list(Outcome))
             host.handle(HealthCheckEnded(host.health_checks.pop(), outcome, 5.0))
         else:
--- a/tests/policy/rule_checks.py
+++ b/tests/policy/rule_checks.py
@@ -4,7 +4,7 @@
 2. A request that may have been executed is sent again, or answered as rejected, only if a second execution is
    harmless.
 3. No attempt is sent to an endpoint that is not serving.
-4. The limits in the settings are kept (attempts, hedging, cancelling, health checks).
+4. The limits in the settings are observed (number of attempts, hedging, cancelling, health checks).
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 class RuleChecks:
-    """Asserts the rules for each action; the host passes the current time in milliseconds."""
+    """Asserts that actions follow the rules; the argument ``now`` is the host's time in milliseconds."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
 
     def check_deadline(self, tracked: TrackedRequest, now: float) -> None:
-        """Assert that a request has been answered, or that its time has not run out."""
+        """Assert that a request has been answered, or that its deadline and the slack have not passed."""
         latest = tracked.deadline + self._settings.response_slack_ms
         assert tracked.answered_at is not None or now <= latest, "rule 1: no final answer in time"
 
     def check_final_answer(self, tracked: TrackedRequest, rejected: bool, now: float) -> None:
-        """Assert that the balancer may answer a request now with a rejection or a failure."""
+        """Assert that a request may now be answered with a rejection (if ``rejected``) or with a failure."""
         assert tracked.answered_at is None, "rule 1: a second final answer"
         latest = tracked.deadline + self._settings.response_slack_ms
         assert now <= latest, "rule 1: final answer too late"
@@ -39,7 +39,9 @@
             keyed = request_class.idempotency is Idempotency.KEYED
             assert keyed, "rule 2: rejected a non-idempotent request that may have been executed"
             scope = request_class.deduplication_scope
-            assert scope is DeduplicationScope.ALL, "rule 2: rejection requires the deduplication scope ALL"
+            assert (
+                scope is DeduplicationScope.ALL
+            ), "rule 2: rejected a keyed request that may have been executed, though its scope is not ALL"
 
     def check_send(
         self, tracked: TrackedRequest, endpoint: Endpoint | None, timeout_ms: float, now: float
@@ -52,7 +54,7 @@
         assert now < tracked.deadline and timeout_ms >= 0.0
         assert len(tracked.attempts) < self._settings.max_attempts
         assert endpoint is not None, "rule 3: attempt sent to an unlisted endpoint"
-        assert endpoint.state is EndpointState.SERVING, "rule 3: attempt sent to a draining endpoint"
+        assert endpoint.state is EndpointState.SERVING, "rule 3: attempt sent to an endpoint not serving"
         self._check_repetition(tracked, endpoint, now)
         return endpoint
 
@@ -72,7 +74,7 @@
         repeatable = request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         assert repeatable, "rule 2: non-idempotent request sent again though it may have been executed"
         if not self._settings.hedging_allowed:
-            assert not any(a.in_flight() for a in tracked.attempts), "rule 4: hedging is not allowed"
+            assert not any(a.in_flight() for a in tracked.attempts), "rule 4: hedged though not allowed"
         if request_class.idempotency is not Idempotency.KEYED:
             return
         for other in others:
--- a/tests/policy/sample_classes.py
+++ b/tests/policy/sample_classes.py
@@ -22,5 +22,5 @@
 
 
 def endpoints_in_cells(count: int) -> list[Endpoint]:
-    """Return endpoints that alternate between two zones, with two endpoints in each cell."""
+    """Return ``count`` endpoints that alternate between two zones, with two endpoints in each cell."""
     return [Endpoint(bytes([i]), zone=i % 2, cell=i // 2) for i in range(count)]
--- a/tests/policy/simulated_fleet.py
+++ b/tests/policy/simulated_fleet.py
@@ -188,7 +188,7 @@
     def _queue_work(self, endpoint: EndpointId, units: float) -> float:
         """Queue work at a server and return the time in milliseconds until the work is done.
 
-        The server does the work that was queued before first; a random delay is added to the time.
+        The server first does the work that was queued earlier.  A random delay is added to the time.
         """
         capacity = self._capacity(self._now) if endpoint in self._replaced else 1.0
         done_at = max(self._busy_until[endpoint], self._now) + units / (WARM_UNITS_PER_S * capacity / 1000.0)
@@ -206,8 +206,9 @@
     def max_overload(self) -> float:
         """Return the highest ratio, over all replaced servers and time windows, of work sent to work allowed.
 
-        The work allowed is the budget of the server and a margin for random variation.  Only windows count in
-        which more than two thirds of the work came from nodes that were notified that servers have started.
+        The work allowed in a window is the overload multiple of the server's capacity at the beginning of the
+        window, plus a margin for random variation.  A window counts only if more than two thirds of its work
+        came from nodes that had been notified that servers have started.
         """
         max_overload = 0.0
         for endpoint in self._replaced:
--- a/tests/policy/simulated_host.py
+++ b/tests/policy/simulated_host.py
@@ -48,7 +48,8 @@
         health_checks: the endpoints whose health checks were requested and have not ended yet.
         polls: the number of polls of the endpoint list so far.
         actions: all actions that the balancer has returned so far.
-        unfinished: the numbers of the requests that have no final answer or still have an attempt in flight.
+        unfinished: the numbers of the requests that had no final answer, or still had an attempt in flight,
+            when ``advance`` was last called, and of all later requests.
         next_request: the number of the next request.
     """
 
@@ -127,7 +128,10 @@
     # ---------------------------------------------------------------- time
 
     def advance(self, span_ms: float) -> None:
-        """Advance the clock, end the attempts that have timed out, and then fire the timers that are due."""
+        """Advance the clock, end the attempts that have timed out, and then fire the timers that are due.
+
+        Finally check that no request is without an answer after its deadline and the response slack.
+        """
         self.now += span_ms
         self.unfinished = {r for r in self.unfinished if not self._is_finished(self.requests[r])}
         for request in sorted(self.unfinished):
@@ -158,9 +162,10 @@
         failing: EndpointId = b"",
         outcome: Outcome = Outcome.ERROR,
     ) -> None:
-        """Serve requests one after another.
+        """Serve ``count`` requests one after another, and end their attempts after ``latency_ms``.
 
-        Attempts at the endpoint ``failing`` end with ``outcome``, all others successfully.
+        Attempts at the endpoint ``failing`` end with ``outcome``, all others successfully.  A retry that is
+        sent when an attempt ends is ended at once.
         """
         for _ in range(count):
             request = self.receive_request()
@@ -209,7 +214,7 @@
         return sum(1 for request in requests for _ in self.in_flight(request))
 
     def endpoints_sent_to(self, since: int = 0) -> list[EndpointId]:
-        """Return the endpoint of each attempt sent, beginning at index ``since`` of the actions."""
+        """Return the endpoint of each attempt sent by the actions from index ``since`` on."""
         return [a.endpoint_id for a in self.actions[since:] if isinstance(a, SendAttempt)]
 
     def log_lines(self) -> list[str]:
