--- a/tests/policy/test_automaton.py
+++ b/tests/policy/test_automaton.py
@@ -164,7 +164,11 @@
     rng = random.Random(11)
 
     def run(latency_factor: float) -> float:
-        """Return the mean share of the first endpoint over the second half of a run."""
+        """Let the automaton learn from 3000 responses, and return the first endpoint's mean share.
+
+        The mean is over the second half of the responses.  ``latency_factor`` multiplies the latency of the
+        first endpoint.
+        """
         share = 0.0
         for step in range(3000):
             i = automaton.draw(range(4), rng.random())
--- a/tests/policy/test_circuit_breakers.py
+++ b/tests/policy/test_circuit_breakers.py
@@ -40,7 +40,7 @@
     for _ in range(200):
         serve_class(host, IDEMPOTENT_CLASS, Outcome.OK)
         serve_class(host, NON_IDEMPOTENT_CLASS, Outcome.ERROR)
-    assert not host.log_fields("endpoint_ejected"), "the endpoint was ejected as a whole"
+    assert not host.log_fields("endpoint_ejected"), "the endpoint was ejected for all classes"
     assert any(
         line.startswith("circuit_breaker_opened endpoint=02 class=w pause_ms=") for line in host.log_lines()
     )
@@ -56,7 +56,7 @@
         serve_class(host, IDEMPOTENT_CLASS, Outcome.OK)
     assert FAULTY in host.endpoints_sent_to(
         action_count
-    ), "no request of the class that it serves was sent to it"
+    ), "the endpoint got no request of the class that it serves"
 
 
 def test_a_circuit_breaker_closes_after_successful_trials(two_class_host: SimulatedHost) -> None:
@@ -71,7 +71,8 @@
     assert endpoints.count(FAULTY) >= 2  # no longer a single trial at a time
     host.end_attempts(requests)
     serve_class_until(host, Outcome.ERROR)
-    (opened,) = host.log_fields("circuit_breaker_opened")  # one more error does not open it again
+    # One more error does not open the circuit breaker again.
+    (opened,) = host.log_fields("circuit_breaker_opened")
     assert opened["endpoint"] == FAULTY and opened["class"] == "w"
 
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -26,8 +26,8 @@
 def admitted_fraction(host: SimulatedHost, count: int) -> float:
     """Return the fraction of requests that are sent while no other attempt is in flight.
 
-    A fraction below one shows a limit below one.  The requests end with a client error, which is no sign of
-    the load, so they do not change the limit.
+    A fraction below one shows a limit below one.  The requests end with a client error, which says
+    nothing about the load, so they do not change the limit.
     """
     requests = []
     for _ in range(count):
@@ -73,7 +73,10 @@
 
 
 def test_the_peak_rate_of_few_responses_is_lowered_by_its_uncertainty() -> None:
-    """The highest rate of many short periods is twice the true rate, and must not keep the limit high."""
+    """The highest of the response rates measured over many short periods is twice the true rate.
+
+    It must not keep the limit high.
+    """
     host = make_host(node_count=100, max_attempts=1)
     host.serve(60, latency_ms=200.0)  # five responses a second: one attempt in flight at a time
     while not host.log_fields("load_shedding_started"):  # the limit falls to what the peak rate needs
@@ -84,11 +87,11 @@
     limit, congestion = started["concurrency_limit"], started["congestion"]
     assert started["baseline_latency_ms"] == pytest.approx(200.0)
     assert isinstance(limit, float) and isinstance(congestion, float)
-    assert 1.05 / congestion < limit < 1.0  # above the result of a single reduction from one attempt
+    assert 1.05 / congestion < limit < 1.0  # a single reduction from 1 gives 1 / congestion
 
 
 def test_a_limit_below_one_admits_that_fraction_of_the_requests() -> None:
-    """With hundreds of nodes, a limit of one request for each would add up to far too many requests."""
+    """With hundreds of nodes, a limit of one request per node would add up to far too many requests."""
     host = make_host(node_count=20)  # minimum limit: six servers divided by twenty nodes, 0.3
     host.serve(60)
     host.serve(60, latency_ms=1000.0)  # far above the target: the limit falls to its minimum
@@ -105,7 +108,7 @@
 
 
 def test_the_limit_falls_within_a_few_latency_objectives_if_all_attempts_time_out() -> None:
-    """If all attempts are overdue, a reduction by a tenth per mean latency would not drain the queues."""
+    """With all attempts overdue, a reduction by a tenth once per mean latency would not drain the queues."""
     host = make_host(node_count=600)
     host.serve(12, latency_ms=50.0)
     burst = [host.receive_request() for _ in range(12)]
@@ -134,7 +137,11 @@
 
 
 def test_a_burst_well_within_the_latency_objective_is_not_rejected() -> None:
-    """A limit from the baseline latency alone would halve the response rate and reject half the requests."""
+    """The latencies of the burst are above the baseline latency, but well within the objective.
+
+    A limit derived from the baseline latency alone would halve the response rate, and so half of the
+    requests would be rejected.
+    """
     host = make_host(SLOW_CLASS, endpoint_count=4, tier_count=3, tier_index=0)
     for latency_ms in [60.0] * 300 + [300.0] * 500:  # one request every 20 ms
         host.receive_request()
@@ -181,7 +188,7 @@
     assert log_event_names(host) == ["endpoint_ejected"] * 2
     host.answer_all_attempts()
     requests = [host.receive_request() for _ in range(60)]
-    host.advance(150.0)  # queued requests have been sent as final attempts, up to the limit
+    host.advance(150.0)  # after the queue timeout, final attempts are sent up to the limit
     assert INITIAL_LIMIT_PER_SERVER * 6 - 3 <= host.count_in_flight(requests) <= INITIAL_LIMIT_PER_SERVER * 6
 
 
--- a/tests/policy/test_congestion.py
+++ b/tests/policy/test_congestion.py
@@ -28,7 +28,10 @@
 
 
 def test_few_responses_signal_congestion_sooner_than_many() -> None:
-    """By the time of five responses at twice the baseline latency, the servers are already overloaded."""
+    """A node with few responses must not wait until five of them have taken twice the baseline latency.
+
+    By that time the servers are already overloaded.
+    """
     events = []
     for pause_ms in (5.0, 2000.0):
         host = make_host()
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -20,7 +20,7 @@
 
 
 def polling_host(settings: Settings = POLLING_SETTINGS, seed: int = 5) -> SimulatedHost:
-    """Return a host that has started with a cached endpoint list and polls for a current list."""
+    """Return a host whose balancer has started with a cached endpoint list and polls for a current list."""
     host = SimulatedHost(settings, seed)
     host.update_endpoints([Endpoint(b"a")], EndpointListKind.CACHED)
     return host
@@ -126,7 +126,8 @@
                 host.fail_poll()
         per_second.append(host.polls - before)
     assert max(per_second) <= 3, per_second
-    assert sum(per_second[-20:]) >= 5  # polls go on, as a change counts as notified after a while
+    # Polling must go on, because after a while a node counts as notified of any change.
+    assert sum(per_second[-20:]) >= 5
 
 
 def test_an_unanswered_poll_is_repeated_in_time() -> None:
@@ -143,7 +144,7 @@
 ) -> None:
     """Each poll, including the first of a new node, fails after ``answer_ms`` or (if None) is not answered.
 
-    Whatever the settings allow, a change counts as notified 6 s after discovery has learned of it.
+    Whatever the settings allow, a node counts as notified of a change 6 s after discovery learned of it.
     """
     settings = replace(POLLING_SETTINGS, poll_within_ms=poll_within_ms)
     for seed in range(20):
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -80,7 +80,7 @@
     action_count = len(host.actions)
     for _ in range(40):
         host.end_attempt(host.receive_request(), 0, Outcome.OK)
-    for _ in range(24):  # enough that the limit of the silent endpoint would allow more
+    for _ in range(24):  # with so many in flight, the silent endpoint's limit would allow it more
         host.receive_request()
     assert len(host.endpoints_sent_to(action_count)) == 64
     assert silent not in host.endpoints_sent_to(action_count)
@@ -116,7 +116,10 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.NOT_SENT])
 def test_a_slowdown_of_all_endpoints_starts_the_cooldown_of_at_most_a_third(outcome: Outcome) -> None:
-    """Cooldown is for an endpoint that is slower than its peers; attempt timeouts adapt to the fleet."""
+    """Cooldown is for an endpoint that is slower than its peers.
+
+    If all endpoints become slower, attempt timeouts adapt to that.
+    """
     host = make_host(endpoint_count=9, max_attempts=1)
     host.serve(60)
     requests = [host.receive_request() for _ in range(9)]
@@ -138,4 +141,4 @@
     assert host.log_lines() == []
     assert host.endpoints_sent_to(since).count(FAULTY) <= 8
     host.serve(200)
-    assert FAULTY in host.endpoints_sent_to(len(host.actions) - 600), "the endpoint got no requests again"
+    assert FAULTY in host.endpoints_sent_to(len(host.actions) - 600), "no requests after its rejections ended"
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -118,9 +118,9 @@
 def test_the_last_check_before_a_send_rejects_what_earlier_checks_should_have_filtered(
     hedging_allowed: bool,
 ) -> None:
-    """The test calls these checks directly, because earlier checks filter the same cases.
+    """The test calls ``may_send`` and ``take`` directly, because no event makes their checks fail.
 
-    So there is no event for which these checks fail.
+    Earlier checks filter the same cases.
     """
     host = host_with_cells(IDEMPOTENT, 3, hedging_allowed=hedging_allowed, max_attempts=2)
     context = host.balancer.context
@@ -217,7 +217,7 @@
 def test_a_hedge_timer_counts_the_attempts_that_a_retry_has_used(max_attempts: int) -> None:
     host = host_with_cells(IDEMPOTENT, 4, max_attempts=max_attempts)
     host.serve(20)
-    # Every endpoint has requests without a response, so that it counts as silent before the timer is due.
+    # Every endpoint has requests without a response, so it counts as silent before the hedge timer is due.
     request, *_ = [host.receive_request() for _ in range(20)]
     host.end_attempt(request, 0, Outcome.RESET)
     assert len(host.requests[request].attempts) == 2
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -33,7 +33,10 @@
 
 @pytest.mark.parametrize("slow_ms", [20.0, 35.0])
 def test_with_healthy_endpoints_the_vector_alone_decides(host: SimulatedHost, slow_ms: float) -> None:
-    """Healthy endpoints serve one request at a time; an automaton with the same input predicts the draws."""
+    """Only one request at a time is in flight, and all endpoints are healthy.
+
+    An automaton with the same input predicts how often each endpoint is drawn.
+    """
     automaton = Automaton()
     automaton.resize(dict.fromkeys(host.endpoints, 1.0))
     slow = bytes([2])
@@ -151,7 +154,7 @@
         return endpoints
 
     def drain(self, endpoint: EndpointId) -> None:
-        """Update the endpoint list: this endpoint is draining."""
+        """Pass a change of the endpoint list to the balancer: this endpoint is draining."""
         row = Endpoint(endpoint, EndpointState.DRAINING)
         self._balancer.handle(EndpointListUpdate(EndpointListKind.DELTA, (row,)), 10.0)
 
@@ -162,7 +165,10 @@
 
 
 def test_subsets_cover_all_endpoints_evenly_and_contain_every_machine_type() -> None:
-    """Without subsets, each of many nodes would send too few requests to each endpoint to learn from them."""
+    """Without subsets, a node could not learn from the responses of single endpoints.
+
+    Each of many nodes would send each of sixty endpoints too few requests for that.
+    """
     node_counts: Counter[EndpointId] = Counter()
     for index in range(NODES):
         subset = Node(index).subset()
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -25,9 +25,9 @@
 
 
 def host_with_restarts(warm: int, restarted: int, per_s: int = 20) -> SimulatedHost:
-    """Return a host of which some servers have just restarted.
+    """Return a host whose balancer knows warm servers and servers that have just restarted.
 
-    For 4 s before that, requests have arrived at a rate of ``per_s`` for each server.
+    For 4 s before the restart, ``per_s`` requests per second arrived for each server.
     """
     settings = Settings(
         classes=(IDEMPOTENT,),
