--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -169,12 +169,12 @@
     async with contextlib.AsyncExitStack() as stack:
         behaviours = [[when_released(reply("200 OK", b"x"))] for _ in range(12)]
         endpoints = [await stack.enter_async_context(StubServer(behaviour)) for behaviour in behaviours]
-        discovery = await stack.enter_async_context(StubDiscovery(mute=True))
+        discovery = await stack.enter_async_context(StubDiscovery(sends_no_response=True))
         configuration = ConfigurationFile.write(tmp_path, sockets=sockets, settings=_settings(hedging))
         node = await NodeProcess.start(configuration, discovery, descriptors=sockets)
         load = _Load(node, endpoints, sockets)
         await load.connect_idle(2 * sockets)
-        discovery.mute = False
+        discovery.sends_no_response = False
         pushing = _PushingDiscovery(discovery, endpoints)
         await node.wait_until_ready()
         await load.learn_latency()
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -20,7 +20,7 @@
     The time is computed: the processor time of the start divided by 0.2, plus the node's longest wait for a
     first endpoint list.
     """
-    async with StubDiscovery(mute=True) as discovery:
+    async with StubDiscovery(sends_no_response=True) as discovery:
         cached_list = listing(1, *(row(f"s{i}", f"{HOST}:{1 + i}") for i in range(1024)))
         pushed = settings(registryMode="pushed")
         configuration = ConfigurationFile.write(tmp_path, sockets=256, known=cached_list, settings=pushed)
--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -59,9 +59,9 @@
         send_line(await environment.discovery.watch(), listing(2, reset=False))
         await until(lambda: environment.endpoint_discovery.version == 2)
         silence_began = loop.time()
-        environment.discovery.mute = True
+        environment.discovery.sends_no_response = True
         await environment.discovery.watch()
-        environment.discovery.mute = False
+        environment.discovery.sends_no_response = False
         send_line(
             await environment.discovery.watch(), listing(3, row("a", one.address, "DRAINING"), reset=False)
         )
@@ -97,10 +97,10 @@
         running_node(has_cached_list=False, registryMode="pushed", guarantees=guarantees) as environment,
     ):
         await environment.discovery.watch()
-        environment.discovery.mute = True
+        environment.discovery.sends_no_response = True
         environment.endpoint_discovery.subscribe()
         await environment.discovery.watch()
-        environment.discovery.mute = False
+        environment.discovery.sends_no_response = False
         send_line(await environment.discovery.watch(), listing(7, row("a", endpoint.address)))
         await until(lambda: environment.endpoint_discovery.version == 7)
 
--- a/tests/proxy/stub_discovery.py
+++ b/tests/proxy/stub_discovery.py
@@ -62,14 +62,14 @@
         targets: the request targets of all watches.
         watches: the watches that no test has taken yet.
         disconnected: set when a watch has been closed.
-        mute: whether the stub sends no response to a watch request.
+        sends_no_response: whether the stub sends no response to a watch request.
     """
 
     address: str = ""
     targets: list[str] = field(default_factory=list)
     watches: asyncio.Queue[asyncio.StreamWriter] = field(default_factory=asyncio.Queue)
     disconnected: asyncio.Event = field(default_factory=asyncio.Event)
-    mute: bool = False
+    sends_no_response: bool = False
 
     async def __aenter__(self) -> StubDiscovery:
         self._server = await asyncio.start_server(self._serve, HOST, 0)
@@ -82,7 +82,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         start_line, _ = await read_head(reader)
         self.targets.append(start_line.split(" ")[1])
-        if not self.mute:
+        if not self.sends_no_response:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches.put_nowait(writer)
         with contextlib.suppress(ConnectionError):
