--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -206,7 +206,9 @@
             Edit(
                 "load_balancer/proxy/upstream/endpoint_pool.py", " and connection.has_no_unread_input()", ""
             ),
-            Edit("load_balancer/proxy/upstream/connection.py", " and not self._reader.surplus", ""),
+            Edit(
+                "load_balancer/proxy/upstream/connection.py", " and not self._reader.has_input_after_stop", ""
+            ),
         ),
         frozenset({FaultKind.SERVER_GARBLE, FaultKind.NODE_PAUSE}),
     ),
--- a/load_balancer/proxy/http/reader.py
+++ b/load_balancer/proxy/http/reader.py
@@ -118,6 +118,7 @@
         "_body_parts",
         "_body_size",
         "_failure",
+        "_has_input_after_stop",
         "_head_input_left",
         "_head_size",
         "_message",
@@ -125,7 +126,6 @@
         "_parser",
         "_state",
         "_stopped",
-        "_surplus",
     )
 
     def __init__(self, on_message: MessageHandler, *, requests: bool) -> None:
@@ -143,7 +143,7 @@
         self._body_parts: list[bytes] = []  # empty between messages
         self._body_size = 0
         self._stopped = False
-        self._surplus = False
+        self._has_input_after_stop = False
 
     @property
     def in_message(self) -> bool:
@@ -151,9 +151,9 @@
         return self._message is not None
 
     @property
-    def surplus(self) -> bool:
+    def has_input_after_stop(self) -> bool:
         """Whether more input followed the message after which the reader was stopped."""
-        return self._surplus
+        return self._has_input_after_stop
 
     def feed(self, data: bytes) -> None:
         """Parse a piece of input, and pass each message that it completes to the callback.
@@ -167,7 +167,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if self._stopped:
-                self._surplus = True
+                self._has_input_after_stop = True
                 return
             if self._failure is None:
                 raise HttpMessageError(400, f"malformed message: {error}") from None
@@ -181,7 +181,7 @@
         self._stopped = True
 
     def resume(self) -> None:
-        """Read messages again after a stop.  Allowed only if ``surplus`` is false."""
+        """Read messages again after a stop.  Allowed only if ``has_input_after_stop`` is false."""
         self._stopped = False
 
     # Callbacks that httptools calls.
--- a/load_balancer/proxy/upstream/connection.py
+++ b/load_balancer/proxy/upstream/connection.py
@@ -198,7 +198,7 @@
         A connection that received surplus bytes after the response must not carry another request.
         """
         request, self._request, self._response = self._request, None, None
-        if response.keep_alive and self.is_open() and not self._reader.surplus:
+        if response.keep_alive and self.is_open() and not self._reader.has_input_after_stop:
             self._state = _IDLE
             self._reader.resume()
             self._acknowledge()
--- a/tests/proxy/http/test_reader.py
+++ b/tests/proxy/http/test_reader.py
@@ -91,8 +91,8 @@
 
     reader = HttpReader(handle_message, requests=True)
     reader.feed(POST)
-    assert not reader.surplus
+    assert not reader.has_input_after_stop
     reader.resume()
     reader.feed(2 * POST)
     assert len(messages) == 2
-    assert reader.surplus
+    assert reader.has_input_after_stop
