--- a/fault_soak/http.py
+++ b/fault_soak/http.py
@@ -54,6 +54,6 @@
     return Message(start_line, headers, body, first_byte_at)
 
 
-def render_response(status: str, body: bytes = b"", extra: str = "") -> bytes:
-    """Return the bytes of a response with a Content-Length; ``extra`` contains further header lines."""
-    return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
+def render_response(status: str, body: bytes = b"", extra_headers: str = "") -> bytes:
+    """Return the bytes of a response with a Content-Length and the header lines of ``extra_headers``."""
+    return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra_headers}\r\n".encode() + body
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -241,7 +241,7 @@
     ) -> bool:
         if self.draining or self._in_flight >= MAX_REQUESTS_PER_SLOT * self._load.slots:
             attempt.end(AttemptResult.REJECTED)
-            writer.write(render_response("503 Unavailable", extra=NOT_EXECUTED))
+            writer.write(render_response("503 Unavailable", extra_headers=NOT_EXECUTED))
             return True
         if self.misbehaviour is Misbehaviour.HANG:
             self.fired += 1
--- a/load_balancer/proxy/downstream/request_router.py
+++ b/load_balancer/proxy/downstream/request_router.py
@@ -66,7 +66,7 @@
         request = self._parser.parse(message, path)
         if self._is_over_limit() or self._body_bytes + len(message.body) > self.max_body_bytes:
             slot.close_after = True
-            slot.respond(503, extra=b"Retry-After: %.3f\r\n" % OVERLOAD_RETRY_AFTER_S)
+            slot.respond(503, extra_headers=b"Retry-After: %.3f\r\n" % OVERLOAD_RETRY_AFTER_S)
             return True
         slot.body_bytes = len(message.body)
         self._body_bytes += slot.body_bytes
--- a/load_balancer/proxy/downstream/response_slot.py
+++ b/load_balancer/proxy/downstream/response_slot.py
@@ -78,20 +78,20 @@
             self._connection.end_after_client_left()
         return self.abandoned
 
-    def respond(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
+    def respond(self, status: int, body: bytes = b"", extra_headers: bytes = b"") -> None:
         """Set the response, which is sent in order, unless the slot is abandoned or already has a response.
 
         Args:
             status: the status code.
             body: the body.
-            extra: further header lines, each ending with CRLF.
+            extra_headers: further header lines, each ending with CRLF.
         """
         if self.abandoned or self.output is not None:
             return
         self.close_after = self.close_after or self._connection.must_close_after(self)
         self._connection.release_body(self)
         self.status = status
-        self.output = render_response(status, body, extra, close=self.close_after)
+        self.output = render_response(status, body, extra_headers, close=self.close_after)
         self._connection.flush()
 
     def fail(self, status: int) -> None:
--- a/load_balancer/proxy/http/rendering.py
+++ b/load_balancer/proxy/http/rendering.py
@@ -18,20 +18,22 @@
 }
 
 
-def render_response(status: int, body: bytes = b"", extra: bytes = b"", *, close: bool = False) -> bytes:
+def render_response(
+    status: int, body: bytes = b"", extra_headers: bytes = b"", *, close: bool = False
+) -> bytes:
     """Return a complete response to a client.
 
     Args:
         status: the status code, which must be in ``_REASON_PHRASES``.
         body: the body.
-        extra: further header lines, each ending with CRLF.
+        extra_headers: further header lines, each ending with CRLF.
         close: whether the node closes the connection after this response.
     """
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n%s" % (
         status,
         _REASON_PHRASES[status],
         len(body),
-        extra,
+        extra_headers,
         b"Connection: close\r\n" if close else b"",
         body,
     )
--- a/load_balancer/proxy/request_handler.py
+++ b/load_balancer/proxy/request_handler.py
@@ -133,8 +133,8 @@
         request = self._finish(request_id)
         if request is not None:
             content_type = response.headers.get(CONTENT_TYPE)
-            extra = b"Content-Type: %s\r\n" % content_type if content_type else b""
-            request.slot.respond(200, response.body, extra)
+            extra_headers = b"Content-Type: %s\r\n" % content_type if content_type else b""
+            request.slot.respond(200, response.body, extra_headers)
         return request
 
     def reject(self, action: RejectRequest) -> None:
@@ -146,7 +146,9 @@
             self._respond(action.request_id, 502)
             return
         after_s = action.retry_after_ms / 1000.0
-        self._respond(action.request_id, 503, extra=b"Retry-After: %.3f\r\n" % after_s if after_s else b"")
+        self._respond(
+            action.request_id, 503, extra_headers=b"Retry-After: %.3f\r\n" % after_s if after_s else b""
+        )
 
     def fail(self, action: FailRequest) -> None:
         """Fail a request with 502, which does not tell its client whether the request was executed."""
@@ -164,10 +166,10 @@
         for request_id in self._table.open_ids:
             self.respond_fault(request_id)
 
-    def _respond(self, request_id: RequestId, status: int, extra: bytes = b"") -> None:
+    def _respond(self, request_id: RequestId, status: int, extra_headers: bytes = b"") -> None:
         request = self._finish(request_id)
         if request is not None:
-            request.slot.respond(status, extra=extra)
+            request.slot.respond(status, extra_headers=extra_headers)
             self.withdraw_unsent(request_id, request)
 
     def _on_deadline(self, request_id: RequestId) -> None:
--- a/tests/proxy/http/test_rendering.py
+++ b/tests/proxy/http/test_rendering.py
@@ -13,7 +13,7 @@
     [
         (render_response(200, b"body"), b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"),
         (
-            render_response(503, extra=b"Retry-After: 0.500\r\n", close=True),
+            render_response(503, extra_headers=b"Retry-After: 0.500\r\n", close=True),
             b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n"
             b"Retry-After: 0.500\r\nConnection: close\r\n\r\n",
         ),
