--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -14,7 +14,7 @@
 # The node accepts this fraction of the limit on downstream connections in addition to the limit.  While no
 # connection can be evicted, it answers requests on the additional connections with 503.
 OVERFLOW_FRACTION = 0.1
-MIN_OVERFLOW = 2
+MIN_OVERFLOW_CONNECTIONS = 2
 
 
 class DescriptorShares(NamedTuple):
@@ -29,9 +29,9 @@
     upstream: int
 
 
-def overflow_of(downstream: int) -> int:
+def overflow_limit(downstream: int) -> int:
     """Return how many connections are accepted in addition to the limit on downstream connections."""
-    return max(MIN_OVERFLOW, int(OVERFLOW_FRACTION * downstream))
+    return max(MIN_OVERFLOW_CONNECTIONS, int(OVERFLOW_FRACTION * downstream))
 
 
 def divide_descriptors(limit: int) -> DescriptorShares:
--- a/load_balancer/proxy/downstream/connection_table.py
+++ b/load_balancer/proxy/downstream/connection_table.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Iterator
 
-from load_balancer.proxy.descriptors import overflow_of
+from load_balancer.proxy.descriptors import overflow_limit
 from load_balancer.proxy.downstream.connection import DownstreamConnection
 from load_balancer.proxy.downstream.eviction import (
     EVICTABLE_AFTER_S,
@@ -82,7 +82,7 @@
             opening: the number of accepted connections that are not in the table yet.
         """
         taken = len(self._connections) + len(self._evicted) + opening
-        return taken < self.max_connections + overflow_of(self.max_connections)
+        return taken < self.max_connections + overflow_limit(self.max_connections)
 
     # Eviction.
 
--- a/tests/proxy/downstream/test_connection_table.py
+++ b/tests/proxy/downstream/test_connection_table.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from load_balancer.proxy.descriptors import MIN_OVERFLOW
+from load_balancer.proxy.descriptors import MIN_OVERFLOW_CONNECTIONS
 from load_balancer.proxy.downstream import eviction
 from load_balancer.proxy.downstream.connection import DownstreamConnection
 from load_balancer.proxy.downstream.eviction import SCAN_LIMIT, EvictionPriority, evict
@@ -172,7 +172,7 @@
         running_node(row("a", endpoint.address), sockets=30) as environment,
     ):
         downstream = environment.node.downstream
-        capacity = downstream.table.max_connections + MIN_OVERFLOW
+        capacity = downstream.table.max_connections + MIN_OVERFLOW_CONNECTIONS
         clients = [await environment.connect_client() for _ in range(capacity)]
         await until(lambda: len(downstream.connections) == capacity)
         clients.append(await environment.connect_client())
