--- a/load_balancer/state/request_records.py
+++ b/load_balancer/state/request_records.py
@@ -148,7 +148,7 @@
         attempt = self.attempts.get((event.request_id, event.attempt_number))
         if attempt is None:
             raise UnexpectedEventError(
-                f"attempt {event.attempt_number} of request {event.request_id} was not out"
+                f"attempt {event.attempt_number} of request {event.request_id} is not in flight"
             )
         return attempt
 
