--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -16,7 +16,7 @@
 The time starts when the discovery service has the change and can be reached by the node.
 """
 
-POLL_BACKOFF_MAX_MS = MAX_NOTIFICATION_DELAY_MS / 6
+MAX_POLL_BACKOFF_MS = MAX_NOTIFICATION_DELAY_MS / 6
 """The longest backoff between polls, in milliseconds.
 
 With this value, two polls may fail within MAX_NOTIFICATION_DELAY_MS: the timeout of a poll is at most twice
@@ -96,7 +96,7 @@
         if not self._subscribed:
             context.actions.append(PollEndpointList())
             # This bound lets two timeouts and two backoffs fit into MAX_NOTIFICATION_DELAY_MS.
-            timeout_ms = min(POLL.response_timeout * context.settings.poll_within_ms, 2 * POLL_BACKOFF_MAX_MS)
+            timeout_ms = min(POLL.response_timeout * context.settings.poll_within_ms, 2 * MAX_POLL_BACKOFF_MS)
             self._schedule_poll(timeout_ms)
 
     def _on_failed_poll(self) -> None:
@@ -109,7 +109,7 @@
     def _schedule_first_poll(self) -> None:
         context = self._context
         if context.settings.poll_endpoint_list:
-            spread_ms = min(POLL.initial_spread * context.settings.poll_within_ms, POLL_BACKOFF_MAX_MS)
+            spread_ms = min(POLL.initial_spread * context.settings.poll_within_ms, MAX_POLL_BACKOFF_MS)
             self._schedule_poll(context.rng.random() * spread_ms)
 
     def _on_fresh_list(self) -> None:
@@ -121,7 +121,7 @@
     def _backoff_ms(self) -> float:
         """Return the time until the next poll after a failed poll, in milliseconds, with jitter."""
         within_ms = self._context.settings.poll_within_ms
-        longest_ms = min(POLL.backoff_max * within_ms, POLL_BACKOFF_MAX_MS)
+        longest_ms = min(POLL.backoff_max * within_ms, MAX_POLL_BACKOFF_MS)
         doublings = min(self._failed_polls - 1, POLL.max_doublings)
         pause_ms = min(longest_ms, POLL.backoff_first * within_ms * 2.0**doublings)
         return pause_ms * (POLL.jitter_min + (1.0 - POLL.jitter_min) * self._context.rng.random())
--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from load_balancer.policy.endpoints import POLL_BACKOFF_MAX_MS
+from load_balancer.policy.endpoints import MAX_POLL_BACKOFF_MS
 from load_balancer.proxy.discovery import watch as discovery_watch
 from load_balancer.proxy.discovery import watch_timing
 from load_balancer.proxy.discovery.endpoint_discovery import DiscoveryState
@@ -33,7 +33,7 @@
 def test_timeouts_leave_time_for_third_watch() -> None:
     """Check the longest timeouts and delays, both if lists are pushed and if they are polled."""
     pushed = watch_timing.MAX_RESPONSE_TIMEOUT_S + watch_timing.MAX_RECONNECT_DELAY_S
-    polled = watch_timing.MAX_RESPONSE_TIMEOUT_S + POLL_BACKOFF_MAX_MS / 1000.0
+    polled = watch_timing.MAX_RESPONSE_TIMEOUT_S + MAX_POLL_BACKOFF_MS / 1000.0
     silence = discovery_watch.SILENCE_TIMEOUT_S
     assert discovery_watch.HEARTBEAT_INTERVAL_S < silence <= NOTIFIED_S - 2 * pushed
     assert 2 * polled < NOTIFIED_S and silence + polled < NOTIFIED_S
