--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -38,7 +38,7 @@
 PARAMETERS = SelectionParameters()
 
 
-def permits(context: NodeContext, request: Request, record: EndpointRecord) -> bool:
+def permits_attempt(context: NodeContext, request: Request, record: EndpointRecord) -> bool:
     """Return whether the endpoint is listed and the request's class allows an attempt there.
 
     Every listed endpoint is allowed until an attempt of the request may have been executed.  From then on,
@@ -74,7 +74,7 @@
         and not request.response_started
         and request.deadline - context.now > context.settings.tick_ms
         and len(request.attempts) < context.settings.max_attempts
-        and permits(context, request, record)
+        and permits_attempt(context, request, record)
     )
 
 
@@ -83,7 +83,7 @@
     records = context.endpoints.selectable
     if not request.attempts:
         return range(len(records))
-    return [i for i, record in enumerate(records) if permits(context, request, record)]
+    return [i for i, record in enumerate(records) if permits_attempt(context, request, record)]
 
 
 class EndpointSelector:
@@ -144,7 +144,7 @@
         return usable
 
     def _allowed(self, request: Request) -> tuple[list[int], int]:
-        """Find the endpoints that ``permits``, slow start and circuit breakers allow.
+        """Find the endpoints that ``permits_attempt``, slow start and circuit breakers allow.
 
         Returns:
             The indices of these endpoints, and the number of endpoints that circuit breakers exclude.
--- a/tests/proxy/test_request_guard.py
+++ b/tests/proxy/test_request_guard.py
@@ -90,7 +90,7 @@
 
 @async_test
 async def test_forbidden_repeat_by_faulty_policy_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("load_balancer.policy.selection.permits", lambda *_: True)
+    monkeypatch.setattr("load_balancer.policy.selection.permits_attempt", lambda *_: True)
     async with (
         StubServer([reset, reply("200 OK")]) as endpoint_a,
         StubServer([reset, reply("200 OK")]) as endpoint_b,
