--- a/fault_soak/drawing.py
+++ b/fault_soak/drawing.py
@@ -164,7 +164,7 @@
         response_slack_ms=20.0,
         warm_up_ms=rng.choice((1000.0, 4000.0, 12000.0)),
         overload_multiple=rng.choice((3.0, 4.0)),
-        poll_within_ms=rng.choice((2000.0, 6000.0)),
+        max_poll_interval_ms=rng.choice((2000.0, 6000.0)),
         overload_window_ms=rng.choice((1000.0, 3000.0)),
         initial_capacity=rng.choice((0.05, 0.13, 0.3)),
         drain_grace_ms=rng.choice((400.0, 1000.0)),
--- a/fault_soak/serialization.py
+++ b/fault_soak/serialization.py
@@ -76,7 +76,7 @@
         "answerSlackMs": guarantees.response_slack_ms,
         "coldMs": guarantees.warm_up_ms,
         "fallMultiple": guarantees.overload_multiple,
-        "mustAskInMs": guarantees.poll_within_ms,
+        "mustAskInMs": guarantees.max_poll_interval_ms,
         "overloadForMs": guarantees.overload_window_ms,
         "startCapacity": guarantees.initial_capacity,
         "stopSendingWithinMs": guarantees.drain_grace_ms,
--- a/fault_soak/settings.py
+++ b/fault_soak/settings.py
@@ -75,7 +75,7 @@
         warm_up_ms: the longest time from the start of a server until it has its full capacity.
         overload_multiple: a server that is warming up fails if its load exceeds this multiple of its present
             capacity.
-        poll_within_ms: the longest time between two polls of the endpoint list.
+        max_poll_interval_ms: the longest time between two polls of the endpoint list.
         overload_window_ms: the time window over which the load of a server that is warming up is measured.
         initial_capacity: the capacity of a server that has just started.
         drain_grace_ms: the time after the notification of a drain within which attempts may still be sent.
@@ -84,7 +84,7 @@
     response_slack_ms: float
     warm_up_ms: float
     overload_multiple: float
-    poll_within_ms: float
+    max_poll_interval_ms: float
     overload_window_ms: float
     initial_capacity: float
     drain_grace_ms: float
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -30,7 +30,7 @@
 class PollParameters(NamedTuple):
     """The pauses between polls.
 
-    Durations are fractions of poll_within_ms, the longest time between two polls that the settings allow.
+    Durations are fractions of ``Settings.max_poll_interval_ms``, the longest time between two polls.
 
     Attributes:
         initial_spread: the time over which the first polls are spread, as all nodes may start at once.
@@ -96,7 +96,9 @@
         if not self._subscribed:
             context.actions.append(PollEndpointList())
             # This bound lets two timeouts and two backoffs fit into MAX_NOTIFICATION_DELAY_MS.
-            timeout_ms = min(POLL.response_timeout * context.settings.poll_within_ms, 2 * MAX_POLL_BACKOFF_MS)
+            timeout_ms = min(
+                POLL.response_timeout * context.settings.max_poll_interval_ms, 2 * MAX_POLL_BACKOFF_MS
+            )
             self._schedule_poll(timeout_ms)
 
     def _on_failed_poll(self) -> None:
@@ -109,7 +111,7 @@
     def _schedule_first_poll(self) -> None:
         context = self._context
         if context.settings.poll_endpoint_list:
-            spread_ms = min(POLL.initial_spread * context.settings.poll_within_ms, MAX_POLL_BACKOFF_MS)
+            spread_ms = min(POLL.initial_spread * context.settings.max_poll_interval_ms, MAX_POLL_BACKOFF_MS)
             self._schedule_poll(context.rng.random() * spread_ms)
 
     def _on_fresh_list(self) -> None:
@@ -120,10 +122,10 @@
 
     def _backoff_ms(self) -> float:
         """Return the time until the next poll after a failed poll, in milliseconds, with jitter."""
-        within_ms = self._context.settings.poll_within_ms
-        longest_ms = min(POLL.backoff_max * within_ms, MAX_POLL_BACKOFF_MS)
+        max_interval_ms = self._context.settings.max_poll_interval_ms
+        longest_ms = min(POLL.backoff_max * max_interval_ms, MAX_POLL_BACKOFF_MS)
         doublings = min(self._failed_polls - 1, POLL.max_doublings)
-        pause_ms = min(longest_ms, POLL.backoff_first * within_ms * 2.0**doublings)
+        pause_ms = min(longest_ms, POLL.backoff_first * max_interval_ms * 2.0**doublings)
         return pause_ms * (POLL.jitter_min + (1.0 - POLL.jitter_min) * self._context.rng.random())
 
     def _schedule_poll(self, pause_ms: float) -> None:
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -87,7 +87,7 @@
             self._config.discovery,
             self._config.listing_reader,
             pushed=not settings.poll_endpoint_list,
-            poll_timeout_s=POLL_TIMEOUT_FRACTION * settings.poll_within_ms / 1000.0,
+            poll_timeout_s=POLL_TIMEOUT_FRACTION * settings.max_poll_interval_ms / 1000.0,
             drain_grace_s=settings.drain_grace_ms / 1000.0,
             on_listing=self._endpoint_updates.apply,
             on_failure=self._endpoint_updates.report_failure,
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -14,7 +14,7 @@
 
 DEFAULT_PRIORITY_WEIGHT = 1.0
 DEFAULT_OVER_QUOTA_WEIGHT = 1.0
-DEFAULT_POLL_WITHIN_MS = 10_000.0
+DEFAULT_MAX_POLL_INTERVAL_MS = 10_000.0
 DEFAULT_INITIAL_CAPACITY = 0.3
 DEFAULT_OVERLOAD_MULTIPLE = 3.0
 DEFAULT_OVERLOAD_WINDOW_MS = 1000.0
@@ -142,7 +142,7 @@
         over_quota_weight: the factor by which the priority of a request beyond its tenant's quota is
             multiplied.
         poll_endpoint_list: whether the node polls for the endpoint list; otherwise changes are pushed.
-        poll_within_ms: the longest time between two polls.
+        max_poll_interval_ms: the longest time between two polls.
         use_endpoint_weights: whether the weights in the endpoint list are meaningful.
         propagates_deadline: whether a request to the next tier carries the time left until its deadline.
         response_slack_ms: the time after its deadline within which a final answer still counts.
@@ -176,7 +176,7 @@
     priority_by_work: bool = False
     over_quota_weight: float = DEFAULT_OVER_QUOTA_WEIGHT
     poll_endpoint_list: bool = False
-    poll_within_ms: float = DEFAULT_POLL_WITHIN_MS
+    max_poll_interval_ms: float = DEFAULT_MAX_POLL_INTERVAL_MS
     use_endpoint_weights: bool = False
     propagates_deadline: bool = True
     response_slack_ms: float = 0.0
@@ -201,7 +201,7 @@
         _check_range(
             self, 0.0, "max_retry_after_ms", "over_quota_weight", "cross_zone_cost", "response_slack_ms"
         )
-        _check_range(self, MIN_DURATION_MS, "poll_within_ms")
+        _check_range(self, MIN_DURATION_MS, "max_poll_interval_ms")
 
 
 def _check_range(values: object, minimum: float, *names: str) -> None:
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -15,7 +15,7 @@
 from tests.policy.simulated_host import SimulatedHost, make_host
 
 POLLING_SETTINGS = Settings(
-    classes=(IDEMPOTENT,), poll_endpoint_list=True, poll_within_ms=4000.0, tick_ms=5.0
+    classes=(IDEMPOTENT,), poll_endpoint_list=True, max_poll_interval_ms=4000.0, tick_ms=5.0
 )
 
 
@@ -78,7 +78,9 @@
 
 
 def test_polls_back_off_while_they_fail_and_stop_after_a_watch_event() -> None:
-    host = polling_host(Settings(classes=(IDEMPOTENT,), poll_endpoint_list=True, poll_within_ms=10_000.0), 4)
+    host = polling_host(
+        Settings(classes=(IDEMPOTENT,), poll_endpoint_list=True, max_poll_interval_ms=10_000.0), 4
+    )
     times: list[float] = []
     for _ in range(4000):
         before = host.polls
@@ -107,7 +109,7 @@
             times.append(host.now)
             host.fail_poll()
     gaps = [b - a for a, b in pairwise(times)]
-    # The first backoff is a tenth of poll_within_ms; half of each pause is random.
+    # The first backoff is a tenth of max_poll_interval_ms; half of each pause is random.
     assert 200.0 <= gaps[0] <= 410.0 <= gaps[1] <= 810.0
     assert all(500.0 <= gap <= 1010.0 for gap in gaps[2:])
 
@@ -136,16 +138,16 @@
     assert 20_000 / 4000.0 <= host.polls <= 20_000 / 2000.0 + 1
 
 
-@pytest.mark.parametrize("poll_within_ms", [200.0, 4000.0, 60_000.0, 3_600_000.0])
+@pytest.mark.parametrize("max_poll_interval_ms", [200.0, 4000.0, 60_000.0, 3_600_000.0])
 @pytest.mark.parametrize("answer_ms", [0.0, 1000.0, None])
 def test_two_failed_polls_leave_time_for_a_third_within_6_s(
-    poll_within_ms: float, answer_ms: float | None
+    max_poll_interval_ms: float, answer_ms: float | None
 ) -> None:
     """Each poll, including the first of a new node, fails after ``answer_ms`` or (if None) is not answered.
 
     Whatever the settings allow, a change counts as notified 6 s after discovery has learned of it.
     """
-    settings = replace(POLLING_SETTINGS, poll_within_ms=poll_within_ms)
+    settings = replace(POLLING_SETTINGS, max_poll_interval_ms=max_poll_interval_ms)
     for seed in range(20):
         host = polling_host(settings, seed)
         polls: list[float] = []
@@ -165,13 +167,13 @@
     for _ in range(3000):
         host.fail_poll()
     before = host.polls
-    host.advance(0.5 * POLLING_SETTINGS.poll_within_ms)
+    host.advance(0.5 * POLLING_SETTINGS.max_poll_interval_ms)
     assert host.polls == before + 1
 
 
 def test_timers_do_not_accumulate_while_polls_fail() -> None:
     """A timer is always pending while polls fail; setting an earlier timer must not add a pending timer."""
-    host = make_host(poll_endpoint_list=True, poll_within_ms=6000.0)
+    host = make_host(poll_endpoint_list=True, max_poll_interval_ms=6000.0)
     for step in range(300):
         if step % 5 == 0:
             host.fail_poll()
