--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -126,7 +126,7 @@
     def _priority(self, request_class: RequestClass, tenant: int, work: float) -> float:
         """Count a request against its tenant's quota and return its priority in the queue."""
         priority = request_class.priority_weight
-        if not self.settings.priority_by_work:
+        if not self.settings.value_grows_with_work:
             priority /= work
         if not self._quotas.admits(tenant, self.context.now):
             priority *= self.settings.over_quota_weight
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -137,8 +137,8 @@
         health_checks_allowed: whether the node may send health checks to endpoints.
         retry_after_allowed: whether a rejection may carry a Retry-After.
         max_retry_after_ms: the longest Retry-After that clients comply with.
-        priority_by_work: whether the value of a request grows with its work.  If it does not, the priority of
-            a request is divided by its work.
+        value_grows_with_work: whether the value of an answer is proportional to the work of its request.  If
+            it is not, the priority of a request is divided by its work.
         over_quota_weight: the factor by which the priority of a request beyond its tenant's quota is
             multiplied.
         poll_endpoint_list: whether the node polls for the endpoint list; otherwise changes are pushed.
@@ -173,7 +173,7 @@
     health_checks_allowed: bool = False
     retry_after_allowed: bool = True
     max_retry_after_ms: float = 1000.0
-    priority_by_work: bool = False
+    value_grows_with_work: bool = False
     over_quota_weight: float = DEFAULT_OVER_QUOTA_WEIGHT
     poll_endpoint_list: bool = False
     max_poll_interval_ms: float = DEFAULT_MAX_POLL_INTERVAL_MS
--- a/load_balancer/settings_format.py
+++ b/load_balancer/settings_format.py
@@ -136,7 +136,7 @@
         health_checks_allowed=reader.flag("policyLimits.probes", False),
         retry_after_allowed=reader.flag("policyLimits.retryAfter", False),
         max_retry_after_ms=reader.number("policyLimits.maxRetryAfterMs", 0.0),
-        priority_by_work=reader.text("worthBy", "request") == "work",
+        value_grows_with_work=reader.text("worthBy", "request") == "work",
         over_quota_weight=reader.number("overShareWorth", DEFAULT_OVER_QUOTA_WEIGHT),
         poll_endpoint_list=reader.text("registryMode", "pushed") == "on_request",
         max_poll_interval_ms=reader.number("guarantees.mustAskInMs", DEFAULT_MAX_POLL_INTERVAL_MS, 1.0),
