--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -131,7 +131,7 @@
         """
         return math.exp(-(self._context.now - self._peak_at) / self._peak_decay_ms)
 
-    def record_answer(self, latency: float) -> None:
+    def record_response(self, latency: float) -> None:
         """Record the latency of a response in the means, the baseline and the peak rate of responses."""
         now = self._context.now
         self._response_count += 1
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -92,8 +92,8 @@
             objective_ms = request.request_class.latency_objective_ms
         # A long latency of heavy work says little about its server or the load.
         latency_ms = elapsed_ms / ((1.0 - COST_HINT_WEIGHT) + COST_HINT_WEIGHT * attempt.work)
-        self._slow_start.record_answer(record, attempt.work)
-        self._monitor.record_answer(latency_ms)
+        self._slow_start.record_response(record, attempt.work)
+        self._monitor.record_response(latency_ms)
         self._limit.record_latency_ratio(elapsed_ms / objective_ms)
         self._automaton.learn(record.endpoint.id, latency_ms)
         self._breakers.record_success(record, attempt.class_index)
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -49,7 +49,7 @@
         record.slow_start.tokens = self._context.rng.random()
         record.slow_start.updated_at = self._context.now
 
-    def record_answer(self, record: EndpointRecord, work: float) -> None:
+    def record_response(self, record: EndpointRecord, work: float) -> None:
         """Count the work of an answered attempt, and refund it to the budget if no server is warm."""
         self._answered_work.add(work, self._context.now)
         if self.capacity_fraction(record) < 1.0 and self.all_warming():
