--- a/fault_soak/mutations.py
+++ b/fault_soak/mutations.py
@@ -72,7 +72,7 @@
 MUTATIONS = (
     Mutation(
         "client may have left",
-        frozenset({Rule.CLIENT_GONE}),
+        frozenset({Rule.ATTEMPT_AFTER_CLIENT_LEFT}),
         (
             Edit(ATTEMPTS, "request is None or request.slot.client_has_left()", "request is None"),
             Edit(ATTEMPTS, "return not self._request.slot.client_has_left()", "return True"),
@@ -210,7 +210,7 @@
                 "load_balancer/proxy/upstream/connection.py", " and not self._reader.has_input_after_stop", ""
             ),
         ),
-        frozenset({FaultKind.SERVER_GARBLE, FaultKind.NODE_PAUSE}),
+        frozenset({FaultKind.SERVER_MALFORMED_RESPONSES, FaultKind.NODE_PAUSE}),
     ),
     Mutation(
         "attempts not limited",
--- a/fault_soak/oracle/attempts.py
+++ b/fault_soak/oracle/attempts.py
@@ -86,7 +86,7 @@
             pause_s = view.pause_allowance_s(attempt)
             if after_s > CLIENT_LEFT_ALLOWANCE_S + SOCKET_SLACK_S + pause_s + view.lag_s:
                 detail = f"{after_s:.3f} s after the client left, {attempt.server}"
-                yield Violation(Rule.CLIENT_GONE, left.request_id, detail)
+                yield Violation(Rule.ATTEMPT_AFTER_CLIENT_LEFT, left.request_id, detail)
 
 
 def check_forwarded_deadlines(view: HistoryView) -> Iterator[Violation]:
--- a/fault_soak/oracle/violations.py
+++ b/fault_soak/oracle/violations.py
@@ -30,7 +30,7 @@
     DRAIN = "drain"
     """An attempt reached a draining or deleted server after the end of the drain grace."""
 
-    CLIENT_GONE = "attempt-after-client-left"
+    ATTEMPT_AFTER_CLIENT_LEFT = "attempt-after-client-left"
     """An attempt began too long after the client of the request had left."""
 
     FORWARDED_DEADLINE = "deadline-told"
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -31,7 +31,7 @@
 
 SERVED_BODY_BYTES = 24
 ERROR_PROBABILITY = 0.7
-GARBLE_PROBABILITY = 0.6
+MALFORMED_PROBABILITY = 0.6
 EARLY_IDLE_CLOSE_S = (0.0, 0.03, 0.1, 0.3)
 CONNECTION_ENDED = (
     asyncio.IncompleteReadError,
@@ -52,7 +52,7 @@
     ERRORS = auto()
     """The server responds to many requests with status 500."""
 
-    GARBLE = auto()
+    MALFORMED = auto()
     """The server writes malformed responses to many requests."""
 
     IDLE_CLOSE = auto()
@@ -287,7 +287,7 @@
             writer.write(render_response("500 Error", b"broken"))
             return True
         attempt.end(AttemptResult.SERVED)
-        if self.misbehaviour is Misbehaviour.GARBLE and self._rng.random() < GARBLE_PROBABILITY:
+        if self.misbehaviour is Misbehaviour.MALFORMED and self._rng.random() < MALFORMED_PROBABILITY:
             self.fired += 1
             return self._write_malformed_response(body, writer)
         load_report = json.dumps({"inflight": self._in_flight})
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -236,7 +236,7 @@
         pytest.param(
             [_sent(), ClientLeft(1.2, "r"), _received(1.3)],
             [_sent(), ClientLeft(1.2, "r"), _received(1.4)],
-            Rule.CLIENT_GONE,
+            Rule.ATTEMPT_AFTER_CLIENT_LEFT,
             id="attempt after the client left",
         ),
         pytest.param(
