--- a/fault_soak/oracle/__init__.py
+++ b/fault_soak/oracle/__init__.py
@@ -10,7 +10,6 @@
 
 from collections.abc import Callable, Iterator
 
-from fault_soak.oracle.answers import check_rejections, check_response_bodies, check_response_times
 from fault_soak.oracle.attempts import (
     check_attempts_after_client_left,
     check_executions,
@@ -20,6 +19,7 @@
 from fault_soak.oracle.clients import check_incomplete_requests
 from fault_soak.oracle.logs import check_counters, check_ejections, check_reported_faults
 from fault_soak.oracle.nodes import check_incarnations, check_resource_limits, check_starvation
+from fault_soak.oracle.responses import check_rejections, check_response_bodies, check_response_times
 from fault_soak.oracle.servers import check_drains, check_slow_start
 from fault_soak.oracle.view import HistoryView
 from fault_soak.oracle.violations import Rule, Violation
--- a/tests/proxy/upstream/test_connection_opener.py
+++ b/tests/proxy/upstream/test_connection_opener.py
@@ -12,7 +12,7 @@
 from tests.proxy.async_support import TIMEOUT_S, async_test, until
 from tests.proxy.stub_discovery import row
 from tests.proxy.stub_server import StubServer, reply, when_released
-from tests.proxy.upstream.connects import DelayedConnects, FailingConnects
+from tests.proxy.upstream.faulty_connects import DelayedConnects, FailingConnects
 from tests.proxy.upstream.harness import upstream
 
 
