--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from load_balancer.policy.endpoints import POLL_BACKOFF_MAX_MS
+from load_balancer.policy.endpoints import MAX_POLL_BACKOFF_MS
 from load_balancer.proxy.discovery import watch as discovery_watch
 from load_balancer.proxy.discovery import watch_timing
 from load_balancer.proxy.discovery.endpoint_discovery import DiscoveryState
@@ -33,7 +33,7 @@
 def test_timeouts_leave_time_for_third_watch() -> None:
     """Check the longest timeouts and delays, both if lists are pushed and if they are polled."""
     pushed = watch_timing.MAX_RESPONSE_TIMEOUT_S + watch_timing.MAX_RECONNECT_DELAY_S
-    polled = watch_timing.MAX_RESPONSE_TIMEOUT_S + POLL_BACKOFF_MAX_MS / 1000.0
+    polled = watch_timing.MAX_RESPONSE_TIMEOUT_S + MAX_POLL_BACKOFF_MS / 1000.0
     silence = discovery_watch.SILENCE_TIMEOUT_S
     assert discovery_watch.HEARTBEAT_INTERVAL_S < silence <= NOTIFIED_S - 2 * pushed
     assert 2 * polled < NOTIFIED_S and silence + polled < NOTIFIED_S
@@ -59,9 +59,9 @@
         send_line(await environment.discovery.watch(), listing(2, reset=False))
         await until(lambda: environment.endpoint_discovery.version == 2)
         silence_began = loop.time()
-        environment.discovery.mute = True
+        environment.discovery.sends_no_response = True
         await environment.discovery.watch()
-        environment.discovery.mute = False
+        environment.discovery.sends_no_response = False
         send_line(
             await environment.discovery.watch(), listing(3, row("a", one.address, "DRAINING"), reset=False)
         )
@@ -97,10 +97,10 @@
         running_node(has_cached_list=False, registryMode="pushed", guarantees=guarantees) as environment,
     ):
         await environment.discovery.watch()
-        environment.discovery.mute = True
+        environment.discovery.sends_no_response = True
         environment.endpoint_discovery.subscribe()
         await environment.discovery.watch()
-        environment.discovery.mute = False
+        environment.discovery.sends_no_response = False
         send_line(await environment.discovery.watch(), listing(7, row("a", endpoint.address)))
         await until(lambda: environment.endpoint_discovery.version == 7)
 
