--- a/fault_soak/discovery.py
+++ b/fault_soak/discovery.py
@@ -49,7 +49,7 @@
     changes: list[Change] = field(default_factory=list)
 
     def announce(self, row: EndpointRow, lifecycle: Lifecycle | None = None) -> Change:
-        """Record and return a change of one server; ``lifecycle``, if given, replaces that of the row."""
+        """Record and return a change of one server; ``lifecycle``, if given, replaces the row's lifecycle."""
         state = row if lifecycle is None else replace(row, lifecycle=lifecycle)
         change = Change(len(self.changes) + 1, state)
         self.changes.append(change)
--- a/fault_soak/oracle/servers.py
+++ b/fault_soak/oracle/servers.py
@@ -15,7 +15,10 @@
 """The mean of the random service times of a stub server, as a multiple of the planned service time."""
 
 LARGE_BOUND = 30
-"""From this bound on, the number of attempts in a window is about normally distributed around the bound."""
+"""The smallest bound, in attempts per window, that is treated as the mean of a normal distribution.
+
+From this bound on, the number of attempts in a window is about normally distributed around the bound.
+"""
 
 
 @dataclass(slots=True)
--- a/fault_soak/shim.py
+++ b/fault_soak/shim.py
@@ -44,9 +44,10 @@
     Failure.PAUSE: (150_000,),
     Failure.CLOCK: (0,),
 }
-"""The possible errors of each failure.
+"""The possible errors of each failure, as values of errno.
 
-An error is a value of errno, for PAUSE a time in microseconds, and 0 for failures that use no error.
+For PAUSE, the value is the length of the pause in microseconds.  SHORT and CLOCK use no error; their value
+is 0.
 """
 
 
--- a/load_balancer/events.py
+++ b/load_balancer/events.py
@@ -155,7 +155,8 @@
         endpoint_id: the endpoint that the attempt was sent to.
         outcome: the outcome of the attempt.
         elapsed_ms: the time since the attempt was sent.
-        finished: whether the request needs no further answer.
+        finished: whether the request had already ended, for example by this response, so that the policy must
+            not answer it.
         load_report: the values of the load report in the response, if it had one, in the order of the
             load_report_fields of the settings.
     """
--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -57,7 +57,9 @@
 
 
 class TenantQuotas:
-    """A token bucket for each tenant, which holds this node's part of the tenant's quota of one second.
+    """A token bucket for each tenant, refilled at the node's part of the tenant's quota.
+
+    A bucket holds at most the tokens of one second.
 
     Inner tiers have no buckets and admit every request, as the quotas apply to the first tier only.
     """
--- a/load_balancer/policy/endpoint_limits.py
+++ b/load_balancer/policy/endpoint_limits.py
@@ -11,8 +11,8 @@
     """The changes of an endpoint's concurrency limit, and the cooldown after a rejection.
 
     Attributes:
-        decrease_factor: the fraction of the attempts in flight at the endpoint to which a rejection lowers
-            the limit.
+        decrease_factor: a rejection lowers the limit to this fraction of the limit, or of the attempts in
+            flight at the endpoint if these are fewer, but not below 1.
         increase_per_round: the increase of the limit, in attempts, after as many served attempts as the limit
             allows in flight.
         cooldown_objectives: the first cooldown, in latency objectives; each consecutive rejection doubles it.
--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -4,9 +4,9 @@
 
 from typing import NamedTuple
 
-# These descriptors are not divided.  The process uses 20 of them when it has no connections.  The others are
-# for the watch at discovery, for the watch that replaces it, and for connections that are being accepted or
-# closed.
+# The number of descriptors that are left out of the division.  The process uses 20 of them when it has no
+# connections.  The others are for the watch at discovery, for the watch that replaces it, and for connections
+# that are being accepted or closed.
 RESERVED_DESCRIPTORS = 28
 DOWNSTREAM_FRACTION = 0.42  # of the descriptors that are not reserved
 MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: clients with requests may use that many connections
--- a/load_balancer/proxy/discovery/endpoint_discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -244,7 +244,7 @@
             self._on_all_ended()
 
     def _back_off_move(self) -> None:
-        """Open another successor after the reconnect delay, while the old watch still works."""
+        """Open another watch at the new address after the reconnect delay; the old watch still works."""
         self._state = DiscoveryState.MOVE_BACKOFF
         self._reconnect_timer = self._loop.call_later(self._timing.reconnect_delay_s, self._open_successor)
 
--- a/load_balancer/proxy/discovery/watch_timing.py
+++ b/load_balancer/proxy/discovery/watch_timing.py
@@ -9,7 +9,7 @@
 RESPONSE_TIMEOUT_FRACTION = 0.4  # of the drain grace
 RECONNECT_DELAY_FRACTION = 0.2  # of the drain grace
 MIN_RESPONSE_TIMEOUT_S = 0.1
-MAX_RESPONSE_TIMEOUT_S = 1.0  # also the upper limit if lists are polled
+MAX_RESPONSE_TIMEOUT_S = 1.0  # the maximum for pushed as well as polled lists
 MIN_RECONNECT_DELAY_S = 0.05
 MAX_RECONNECT_DELAY_S = 0.25
 
--- a/load_balancer/proxy/downstream/client_transport.py
+++ b/load_balancer/proxy/downstream/client_transport.py
@@ -71,7 +71,7 @@
 
     def _poll(self, event: int) -> bool:
         if self._transport is None or self._transport.is_closing():
-            return False  # The event loop reports the end of a lost or closing connection.
+            return False  # A lost or closing connection is not polled: the event loop reports its end.
         return poll_socket(self._transport.get_extra_info("socket").fileno(), event)
 
     # Reading.
--- a/load_balancer/proxy/downstream/eviction.py
+++ b/load_balancer/proxy/downstream/eviction.py
@@ -105,7 +105,8 @@
         return not connection.transport.has_unsent_output()
     if phase is IDLE:
         grace_is_over = connection.received_api_request or waited_s >= unused_grace_s
-        # An unread request counts as accepted.
+        # A request that has arrived counts as accepted even if the event loop has not read it yet.  A close
+        # would reset the connection without a response.
         return grace_is_over and not connection.has_unread_input()
     return waited_s > EVICTABLE_AFTER_S
 
--- a/load_balancer/proxy/downstream/timeouts.py
+++ b/load_balancer/proxy/downstream/timeouts.py
@@ -15,8 +15,8 @@
 # check interval and the network delay, this takes less than the 3 s that the protocol allows.
 FIRST_REQUEST_TIMEOUT_S = 2.25
 REQUEST_TIMEOUT_S = 10.0
-# The time in which the next piece of an incomplete request must arrive.  The protocol requires an answer to a
-# client that stops sending within 3 s too.
+# The time in which the next piece of an incomplete request must arrive.  The protocol also requires an
+# answer within 3 s to a client that stops sending.
 STALLED_REQUEST_TIMEOUT_S = 2.25
 
 # The timeouts of a connection between requests.  A connection that has sent no valid request under /api is
--- a/load_balancer/proxy/request_handler.py
+++ b/load_balancer/proxy/request_handler.py
@@ -100,7 +100,7 @@
         )
 
     def _budget_ms(self, parsed: ParsedRequest, slot: ResponseSlot) -> float:
-        """Return the milliseconds that are left for a response, without the reserve.
+        """Return the milliseconds that are left for a response, minus the reserve for delays.
 
         The client's budget counts from the arrival of the request.  A busy event loop reads the request some
         time after its arrival, so the time since the arrival is subtracted.
@@ -173,7 +173,10 @@
             self.withdraw_unsent(request_id, request)
 
     def _on_deadline(self, request_id: RequestId) -> None:
-        """Answer a request that the policy has not ended within its budget, before the client's deadline."""
+        """Answer a request that the policy has not answered by the end of the request's budget.
+
+        The client's deadline has normally not passed yet; see DEADLINE_TIMER_MS.
+        """
         log.error("response_deadline_missed request=%d", request_id)
         self.respond_fault(request_id)
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -241,7 +241,7 @@
 def test_requests_with_long_service_times_are_not_rejected_for_their_number(
     tiers: int, max_fraction: float
 ) -> None:
-    """Requests in service do not count against the limit if responses take long without congestion.
+    """Without congestion, few requests are rejected even if long service times keep many of them in service.
 
     With responses after 1.3 s and a latency objective of 4.5 s, more requests are in service than the initial
     limit of six for each server, without any congestion.
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -127,7 +127,7 @@
     host.now += 600.0
     host.end_attempts(requests, outcome)
     action_count = len(host.actions)
-    for _ in range(60):  # no time passes: the cooldown lasts
+    for _ in range(60):  # no time passes: endpoints stay in cooldown
         host.end_attempt(host.receive_request(), 0, Outcome.OK)
     assert len(set(host.endpoints_sent_to(action_count))) >= 6
 
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -94,7 +94,7 @@
 
     Attributes:
         node: the node under load.
-        endpoints: the endpoints in the node's list, which hold each request until they are released.
+        endpoints: the endpoints in the node's list; each holds its requests until its ``release`` is set.
         sockets: the node's limit on open descriptors.
         idle: the clients that have connected and send nothing.
     """
--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -31,7 +31,11 @@
 
 
 def test_timeouts_leave_time_for_third_watch() -> None:
-    """Check the longest timeouts and delays, both if lists are pushed and if they are polled."""
+    """Check that a change is received in time if a watch falls silent and the next watch fails.
+
+    The longest timeouts and delays must leave time for the third watch, both if lists are pushed and if they
+    are polled.
+    """
     pushed = watch_timing.MAX_RESPONSE_TIMEOUT_S + watch_timing.MAX_RECONNECT_DELAY_S
     polled = watch_timing.MAX_RESPONSE_TIMEOUT_S + MAX_POLL_BACKOFF_MS / 1000.0
     silence = discovery_watch.SILENCE_TIMEOUT_S
--- a/tests/proxy/downstream/test_connection_table.py
+++ b/tests/proxy/downstream/test_connection_table.py
@@ -87,7 +87,8 @@
 async def test_connection_with_unread_request_is_not_evicted() -> None:
     """Check that a connection with an unread request stays open and that the request is answered.
 
-    The request counts as accepted.  A close would reset the connection without a response.
+    A request that has arrived counts as accepted even if it has not been read.  A close would reset the
+    connection without a response.
     """
     async with (
         StubServer([reply("200 OK", b"x")]) as endpoint,
--- a/tests/proxy/upstream/harness.py
+++ b/tests/proxy/upstream/harness.py
@@ -31,7 +31,7 @@
         self._on_outcome = on_outcome
 
     def render(self, seconds_left: float) -> bytes:
-        """Return the same bytes for each request."""
+        """Return fixed request bytes; the time that is left is ignored."""
         return REQUEST
 
     def on_end(self, outcome: Outcome, response: HttpMessage | None) -> None:
