--- a/fault_soak/clients/faulty.py
+++ b/fault_soak/clients/faulty.py
@@ -24,7 +24,11 @@
 
 
 class FaultyClients:
-    """Clients that stop within a request, pipeline requests, send invalid input or only open connections."""
+    """Clients that misbehave.
+
+    They stop writing in the middle of a request, pipeline requests, send invalid input or only open
+    connections.
+    """
 
     _client_numbers = itertools.count(1)
 
--- a/fault_soak/discovery.py
+++ b/fault_soak/discovery.py
@@ -36,7 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of the endpoint list: the row that a server has from the given generation on."""
+    """A change of one server's row in the endpoint list.
+
+    From the list version ``generation`` on, the list contains ``row`` for this server, until the next change.
+    """
 
     generation: int
     row: EndpointRow
--- a/fault_soak/history.py
+++ b/fault_soak/history.py
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteRequestStopped(HistoryEvent):
-    """A faulty client stopped writing within a request and keeps its connection open."""
+    """A faulty client stopped writing in the middle of a request and keeps its connection open."""
 
     client: int
     node: str
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteRequestEnded(HistoryEvent):
-    """A faulty client that had stopped within a request received an error response or was disconnected."""
+    """A faulty client that had sent only a part of a request got an error response or was disconnected."""
 
     client: int
 
--- a/fault_soak/injection/clients.py
+++ b/fault_soak/injection/clients.py
@@ -23,7 +23,10 @@
 
 
 async def stop_within_requests(environment: Environment, fault: Fault) -> int | None:
-    """Make one client stop within the first request of its connection, and another within a later request."""
+    """Make two clients stop writing in the middle of a request.
+
+    One client stops in the first request of its connection, the other client in the second request.
+    """
     for first in (True, False):
         node = environment.rng.choice(environment.nodes)
         if node.admitted:
--- a/fault_soak/oracle/responses.py
+++ b/fault_soak/oracle/responses.py
@@ -24,7 +24,10 @@
 """The time in seconds after SIGTERM during which requests may still arrive at a node."""
 
 BURST_BEFORE_S = 0.1
-"""The time in seconds before the recorded start of a connection burst in which it may exhaust descriptors."""
+"""The time in seconds before the recorded start of a connection burst.
+
+Requests that are sent in this time may already find the node's descriptors exhausted by the burst.
+"""
 
 BURST_AFTER_S = 1.0
 """The time in seconds after the end of a connection burst in which descriptors may remain exhausted."""
--- a/fault_soak/settings.py
+++ b/fault_soak/settings.py
@@ -137,7 +137,7 @@
         zone_index: the index of the node's zone in ``zones``.
         machine_types: the machine types of servers.
         node_index: the index of the node among the nodes of its tier.
-        limits: the limits of what the node may do.
+        limits: the limits of what the node may do with requests and connections.
         classes: the request classes.
         list_delivery: the way in which the node receives changes of the endpoint list.
         tenants: the tenants.
--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -191,7 +191,10 @@
         self.p = [x * growth if t == machine_type else x + theta * (p_min - x) for x, t in pairs]
 
     def _update_average(self, i: int, latency: float) -> float:
-        """Update the average of one endpoint and return the payoff threshold for this latency."""
+        """Update the latency average of one endpoint, and return the new mean of all averages.
+
+        The mean is the payoff threshold for this latency.
+        """
         mean = self.mean()
         if mean is None:  # the node's first response sets the initial average of every endpoint
             self.latency_averages = [latency] * len(self.latency_averages)
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -17,14 +17,15 @@
     latencies compare with their targets.
 
     Attributes:
-        initial_per_server: the number of attempts in flight per warm server's worth of capacity.  It applies
-            at the start and while few attempts are in service.  A server with more attempts waiting becomes
-            slow.  The value is for two tiers: with more tiers a server also holds the attempts that wait for
-            the tiers behind it.
+        initial_per_server: the number of attempts in flight for each warm server.  A server that is warming
+            up counts as a fraction of a warm server.  The value applies at the start and while few attempts
+            are in service.  A server with more attempts waiting becomes slow.  The value is for two tiers:
+            with more tiers a server also holds the attempts that wait for the tiers behind it.
         in_service_margin: the capacity bound as a multiple of the attempts in service, which are the attempts
             that do not wait in a queue.  It applies if responses take long even without queueing.
-        reference_tiers: the number of remaining tiers up to which the depth factor is 1.  The two values
-            above are multiplied by this factor; with more tiers it grows in proportion to their number.
+        reference_tiers: the number of remaining tiers up to which the two values above apply unchanged.  With
+            more remaining tiers, both values are multiplied by the number of remaining tiers divided by
+            reference_tiers.
     """
 
     initial_per_server: float = 6.0
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -19,8 +19,9 @@
             if the objective leaves little margin above the baseline.
         max_ratio: the maximum latency ratio with which a single late response enters the mean.
         max_baseline_multiple: the bound of the mean latency, as a multiple of the baseline latency.
-        sparse_max_baseline_multiple: the bound that replaces max_baseline_multiple when the averages span the
-            fewest responses.
+        sparse_max_baseline_multiple: the bound that replaces max_baseline_multiple when responses arrive so
+            rarely that the averages use AveragingParameters.max_factor.  Between min_factor and max_factor,
+            the bound is interpolated.
     """
 
     target_ratio: float = 0.4
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -72,7 +72,7 @@
         elif outcome in _FAILURES:
             self._record_failure(attempt, outcome, elapsed_ms)
         elif outcome is Outcome.CLIENT_ERROR:
-            self.record_response(record)  # the request is the cause, neither the server nor the load
+            self.record_response(record)  # caused by the request, not by the server or the load
         elif outcome in _TIMEOUT_OR_CANCELLED and request is not None:
             # If the request is None, the attempt was not needed any more, for example because another attempt
             # responded first.
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -50,7 +50,7 @@
             outlier.consecutive_ejections = 0
 
     def record_failure(self, record: EndpointRecord, outcome: Outcome) -> None:
-        """Record a failure, which may eject its endpoint unless the peers fail as well.
+        """Record a failure, which may eject its endpoint unless the other endpoints fail as well.
 
         A failure of an endpoint on trial always ejects it.
         """
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -87,7 +87,7 @@
 
 
 class EndpointSelector:
-    """Draws the endpoint of an attempt from the permitted endpoints, by the automaton's vector."""
+    """Draws the endpoint of an attempt from the permitted endpoints, with the automaton's probabilities."""
 
     def __init__(
         self,
--- a/load_balancer/proxy/downstream/response_queue.py
+++ b/load_balancer/proxy/downstream/response_queue.py
@@ -31,8 +31,8 @@
         """Answer every request that has no response yet with this status code.
 
         The last slot holds the error response to invalid or late input.  This slot is removed, because the
-        response before it now closes the connection and has the same status code, unless that response was
-        already available.
+        response in the slot before it now closes the connection.  That response has the same status code as
+        the removed response, unless it was already available.
         """
         if self:
             self.pop()
--- a/load_balancer/proxy/downstream/server.py
+++ b/load_balancer/proxy/downstream/server.py
@@ -108,8 +108,8 @@
         """Start to drain: responses close their connections from now on, and idle connections close at once.
 
         Two kinds of idle connections stay open.  The first kind has had no response yet: its client has
-        connected to send a request, which the close would refuse.  The second kind has unread input, which
-        counts as an accepted request.
+        connected to send a request, which would fail if the connection were closed.  The second kind has
+        unread input, which counts as an accepted request.
         """
         self.draining = True
         idle = [c for c in self.table if c.phase is IDLE and c.answered and not c.has_unread_input()]
--- a/load_balancer/proxy/event_loop/socket_poll.py
+++ b/load_balancer/proxy/event_loop/socket_poll.py
@@ -1,6 +1,6 @@
-"""Polls one socket directly.
+"""Polls one socket directly, without the event loop.
 
-The event loop reports the same event one iteration later, and does not report it while reading is paused.
+The event loop would report a pending event only one iteration later, and not at all while reading is paused.
 """
 
 from __future__ import annotations
--- a/load_balancer/proxy/request_table.py
+++ b/load_balancer/proxy/request_table.py
@@ -70,7 +70,7 @@
         self._pending: dict[RequestId, PendingRequest] = {}
         self._finished: dict[RequestId, PendingRequest] = {}
         self._attempts: dict[tuple[RequestId, int], UpstreamRequest] = {}
-        self._reserved: dict[bytes, int] = {}  # open requests and attempts in flight by client id
+        self._reserved: dict[bytes, int] = {}  # per client id: number of open requests and attempts in flight
         self._last_id = 0
 
     def __len__(self) -> int:
--- a/load_balancer/proxy/upstream/listed_pools.py
+++ b/load_balancer/proxy/upstream/listed_pools.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, max_idle_timeout_s: float) -> None:
-        """Create the collection without pools.
+        """Create an empty collection; ``update`` adds the pools.
 
         Args:
             max_idle_timeout_s: the idle timeout, in seconds, of a pool whose endpoint closes no connection
--- a/tests/policy/test_automaton.py
+++ b/tests/policy/test_automaton.py
@@ -180,7 +180,7 @@
             share += automaton.p[0] if step >= 1500 else 0.0
         return share / 1500
 
-    assert run(4.0) < 0.17  # 0.25 if the endpoint were as fast as the others
+    assert run(4.0) < 0.17  # an endpoint as fast as the others would have 0.25
     assert run(1.0) > 0.22
 
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -92,7 +92,7 @@
 
 def test_a_limit_below_one_admits_that_fraction_of_the_requests() -> None:
     """With hundreds of nodes, a limit of one request per node would add up to far too many requests."""
-    host = make_host(node_count=20)  # minimum limit: six servers divided by twenty nodes, 0.3
+    host = make_host(node_count=20)  # minimum limit: one attempt per server, 6 servers / 20 nodes = 0.3
     host.serve(60)
     host.serve(60, latency_ms=1000.0)  # far above the target: the limit falls to its minimum
     sent = 0
--- a/tests/policy/test_congestion.py
+++ b/tests/policy/test_congestion.py
@@ -89,7 +89,7 @@
 
 
 def test_the_first_quick_responses_do_not_set_the_baseline() -> None:
-    """Of requests sent together the quickest end first; their latencies must not set the baseline."""
+    """The first responses to simultaneous requests are the quickest and must not set the baseline."""
     host = make_host(endpoint_count=30)
     requests = [host.receive_request() for _ in range(150)]
     sent = [r for r in requests if host.requests[r].attempts]
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -59,7 +59,10 @@
 def test_a_keyed_retry_leaves_time_for_its_connection_within_the_window(
     ended_ms: float, retried: bool
 ) -> None:
-    """A retry sent within the window waits for its connection and may be written after the window's end."""
+    """A retry must not be sent shortly before the end of the deduplication window.
+
+    The retry first waits for a connection, so it could be written after the end of the window.
+    """
     host = make_host(
         keyed(DeduplicationScope.ALL, 1000.0),
         endpoint_count=2,
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -146,7 +146,7 @@
         self._requests += 1
         actions = self._balancer.handle(RequestArrived(self._requests, 0, 3000.0), 10.0)
         endpoints = [a.endpoint_id for a in actions if isinstance(a, SendAttempt)]
-        for number, endpoint in enumerate(endpoints):  # the loop also visits retries
+        for number, endpoint in enumerate(endpoints):  # the loop also visits the retries that it appends
             outcome = outcomes.get(endpoint, default_outcome)
             ended = AttemptEnded(self._requests, number, endpoint, outcome, 0.0, False)
             actions = self._balancer.handle(ended, 10.0)
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""Input on a watch, and the ways in which a watch ends."""
+"""Tests of the input that a watch reads, and of the conditions under which it is kept or reopened."""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_connection.py
+++ b/tests/proxy/upstream/test_connection.py
@@ -1,4 +1,4 @@
-"""The responses of an endpoint, and the single outcome of each request."""
+"""Tests that a connection to an endpoint reads responses correctly and reports one outcome per request."""
 
 from __future__ import annotations
 
--- a/tools/stream_recording.py
+++ b/tools/stream_recording.py
@@ -150,10 +150,10 @@
 
 
 def outcomes(step: int, steady_request: int) -> list[bytes]:
-    """Return the end of instance 1's attempt and, in later steps, the abandonment of a request of instance 2.
+    """Return the records of the attempts and requests that end in this step.
 
-    The attempt succeeds.  In each step with a number above STEPS_BEFORE_ABANDONING, the client abandons the
-    request that instance 2 received STEPS_BEFORE_ABANDONING steps earlier.
+    The attempt of instance 1 ends successfully.  In each step with a number above STEPS_BEFORE_ABANDONING,
+    the client also abandons the request that instance 2 received STEPS_BEFORE_ABANDONING steps earlier.
     """
     fields = (STEADY_INSTANCE, steady_request, 0, server_address(1), STATUS_OK, 10.0, 1, 0)
     ended = pack_record(EventCode.ATTEMPT_ENDED, "IIH6sHdBB", *fields)
