--- a/load_balancer/estimation/rates.py
+++ b/load_balancer/estimation/rates.py
@@ -8,7 +8,8 @@
 class DecayingRate:
     """The recent rate of units, weighted so that older units decay exponentially.
 
-    The rate is corrected for the short time after the first units, so that it is unbiased from the start.
+    Soon after the first units, the average covers less than the time constant.  The rate takes this into
+    account, so that it is not too low at the start.
 
     Attributes:
         time_constant_ms: the time constant of the decay.
@@ -18,7 +19,7 @@
 
     def __init__(self, time_constant_ms: float, min_span_ms: float = 1.0) -> None:
         self.time_constant_ms = time_constant_ms
-        # Until this time has passed since the first units, all units count as spread over this time.
+        # Until this time has passed since the first units, the rate is calculated as if it had passed.
         self._min_span_ms = min_span_ms
         self._started_at: float | None = None
         self._count = 0.0
@@ -58,7 +59,7 @@
     def take(self, now: float) -> bool:
         """Take a token if a whole one is available, and return whether a token was taken.
 
-        A bucket whose rate is 0 always allows taking a token.
+        A bucket whose rate is 0 has no limit, and the result is always True.
         """
         if self._per_s <= 0:
             return True
--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -16,8 +16,9 @@
     """The parameters of an automaton.
 
     Alpha and theta are far larger than in the published algorithm, because a node sees few responses.  Both
-    grow with the number N of nodes: each node sees one N-th of the responses, and the random walks of the N
-    vectors cancel out in the sum that an endpoint receives from all nodes.
+    grow with the number N of nodes, because each node sees only one N-th of the responses.  Larger values
+    increase the random walk of each node's vector, but the random walks of the N vectors cancel out in the
+    sum of the attempts that an endpoint receives from all nodes.
 
     Attributes:
         alpha: the minimum smoothing factor; with it an average spans about seven responses of its endpoint.
@@ -26,10 +27,10 @@
         max_alpha: the maximum smoothing factor; with it an average still spans two responses.
         theta_times_r: the minimum of theta, multiplied by r.  At this value, and with the floor, the random
             walk of the shares of equally fast endpoints stays below a sixth of a share.
-        theta_times_r_per_node: theta multiplied by r and divided by the number of nodes, if this gives a
-            larger theta than theta_times_r.  It keeps the sum of the shares over all nodes as steady as
-            theta_times_r keeps the sum over three nodes.  For the shares of machine types the number of types
-            replaces r.
+        theta_times_r_per_node: the factor by which the number of nodes is multiplied to get theta multiplied
+            by r, unless the result is below theta_times_r.  It keeps the sum of an endpoint's shares over all
+            nodes as steady as theta_times_r keeps the sum over three nodes.  To get theta_type instead of
+            theta, the number of machine types replaces r.
         max_theta_per_alpha: the maximum ratio of theta to alpha, because the averages must adapt well before
             the shares of endpoints do.
         max_type_theta_per_alpha: the maximum ratio of theta_type to alpha.  It is larger, because the share
@@ -108,8 +109,8 @@
         """Update the average of an endpoint from a response, and the vector if the response was a payoff.
 
         Returns:
-            Whether the response was a payoff: whether its latency was below the mean of all averages, and its
-            endpoint is still in the vector.
+            Whether the response was a payoff.  It is a payoff if its latency was below the mean of all
+            averages and its endpoint is still in the vector.
         """
         i = self._index.get(endpoint_id)
         if i is None:
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -204,13 +204,19 @@
         while skipped < len(queue) and skipped < QUEUE_SCAN_LIMIT:
             request = queue[skipped]
             if not self.concurrency.admits(request):
-                break  # no request of lower priority may overtake this one because of its admission draw
+                # The limit may admit the admission draw of a request of lower priority, but that request must
+                # not be sent before this one.
+                break
             if not self._dispatch(request, final_attempt=False):
                 skipped += 1
         queue.schedule_check()
 
     def _expire_queued(self) -> None:
-        """Send a final attempt for each request whose queue timeout has passed, or finish the request."""
+        """Send a final attempt for each request whose queue timeout has passed, or finish the request.
+
+        The health and the limits of endpoints are ignored for a final attempt, but the concurrency limit of
+        the node applies.
+        """
         for request in self.queue.expired():
             if not self.concurrency.admits(request):
                 self._finish(request, FinishReason.OVERLOADED)
--- a/load_balancer/policy/circuit_breakers.py
+++ b/load_balancer/policy/circuit_breakers.py
@@ -15,8 +15,8 @@
     Attributes:
         long_term_smoothing_factor: the smoothing factor of the long-term failure rate, which spans about
             twenty responses of an endpoint.
-        max_run_probability: the maximum probability, at the peers' long-term failure rate, of a run of
-            failures that opens a closed breaker.
+        max_run_probability: a run of consecutive failures opens a closed breaker only if the probability of
+            such a run, calculated from the peers' long-term failure rate, is at most this value.
         max_open_fraction: the fraction of the endpoints whose breakers may be open for one class.  These
             endpoints still serve the other classes, so no capacity is lost.
     """
@@ -159,9 +159,9 @@
 
 
 def _rate_of_improbable_run(long_term_rate: float) -> float:
-    """Return the failure rate after the shortest run of failures that is too improbable to be chance.
+    """Return the failure rate that a run of consecutive failures reaches when it is too long to be chance.
 
-    A run is too improbable if its probability, at this long-term failure rate, is at most
+    A run is too long if its probability, calculated from this long-term failure rate, is at most
     max_run_probability.
     """
     if long_term_rate <= 0.0:
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -19,8 +19,9 @@
     Attributes:
         initial_per_server: the number of attempts in flight for each warm server.  A server that is warming
             up counts as a fraction of a warm server.  The value applies at the start and while few attempts
-            are in service.  A server with more attempts waiting becomes slow.  The value is for two tiers:
-            with more tiers a server also holds the attempts that wait for the tiers behind it.
+            are in service.  With a larger value, more attempts would wait at each server and make it slow.
+            The value is for two remaining tiers; with more tiers a server also holds the attempts that wait
+            for the tiers behind it.
         in_service_margin: the capacity bound as a multiple of the attempts in service, which are the attempts
             that do not wait in a queue.  It applies if responses take long even without queueing.
         reference_tiers: the number of remaining tiers up to which the two values above apply unchanged.  With
@@ -86,7 +87,8 @@
         self._monitor = monitor
         self._sharing_node_count = sharing_node_count(context.settings)
         self._tiers_left = context.settings.tier_count - context.settings.tier_index
-        # An attempt occupies its server while the server waits for the tiers behind it.
+        # With more tiers left, each server holds more attempts, because an attempt also occupies its server
+        # while the server waits for the tiers behind it.
         self._depth_factor = max(1.0, self._tiers_left / CAPACITY.reference_tiers)
         self._was_congested = False
         self._shedding = False
@@ -127,7 +129,7 @@
         return CAPACITY.initial_per_server * self._depth_factor * warm_servers
 
     def on_endpoint_list(self) -> None:
-        """Raise the limit to the initial limit of the new endpoint list, until the first congestion."""
+        """Raise the limit to the initial limit of the new endpoint list if there was no congestion yet."""
         if not self._was_congested:
             self.limit = max(self.limit, self.initial_limit())
 
@@ -170,7 +172,8 @@
             DECREASE.rate_margin * monitor.peak_rate * monitor.peak_decay_factor() * unqueued_latency
         )
         factor = min(DECREASE.max_factor, max(DECREASE.min_factor, 1.0 / monitor.congestion))
-        # One standard deviation above the mean, because few attempts may be in flight at a given moment.
+        # The number in flight varies and may be low at a given moment, so the value used is its mean plus one
+        # standard deviation.
         recent_in_flight = max(1.0, monitor.mean_in_flight + math.sqrt(monitor.mean_in_flight))
         minimum = self._minimum()
         if monitor.target_congestion < 1.0:
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -15,13 +15,13 @@
 
     Attributes:
         target_ratio: the target of the mean latency ratio at the first tier; it is lower at inner tiers.
-        target_baseline_multiple: the minimum of the target, as a multiple of the baseline ratio.  It applies
-            if the objective leaves little margin above the baseline.
+        target_baseline_multiple: the minimum of the target, as a multiple of the mean latency ratio when no
+            requests queue.  It applies if the objective leaves little margin above that ratio.
         max_ratio: the maximum latency ratio with which a single late response enters the mean.
         max_baseline_multiple: the bound of the mean latency, as a multiple of the baseline latency.
         sparse_max_baseline_multiple: the bound that replaces max_baseline_multiple when responses arrive so
-            rarely that the averages use AveragingParameters.max_factor.  Between min_factor and max_factor,
-            the bound is interpolated.
+            rarely that the averages use AveragingParameters.max_factor.  For smoothing factors between
+            min_factor and max_factor, the bound is interpolated.
     """
 
     target_ratio: float = 0.4
--- a/load_balancer/policy/failure_detection.py
+++ b/load_balancer/policy/failure_detection.py
@@ -33,8 +33,8 @@
     """The duration of a pause, during which an endpoint is excluded from one class or from all.
 
     The unit is the warm-up time, because a restart usually resolves the failure.  If servers warm up within a
-    second, this unit would be too short, as most causes last for many responses; therefore the unit has a
-    minimum in latency objectives.
+    second, this unit would be too short, because the causes of most failures last for the time of many
+    responses.  Therefore the unit has a minimum in latency objectives.
 
     Attributes:
         default_unit_ms: the unit if the settings contain no warm-up time, in milliseconds.
--- a/load_balancer/policy/outcomes.py
+++ b/load_balancer/policy/outcomes.py
@@ -13,7 +13,10 @@
 from load_balancer.state.request_records import Attempt, Request
 
 LATE_COOLDOWN_FACTOR = 2.0
-"""The cooldown of an endpoint that sent no response during a late attempt, in durations of the attempt."""
+"""The cooldown of an endpoint that sent no response during a late attempt.
+
+The unit is the time that the late attempt took.
+"""
 
 COST_HINT_WEIGHT = 0.5
 """The fraction of a latency that is proportional to the work that the request's cost hint predicts."""
@@ -72,7 +75,8 @@
         elif outcome in _FAILURES:
             self._record_failure(attempt, outcome, elapsed_ms)
         elif outcome is Outcome.CLIENT_ERROR:
-            self.record_response(record)  # caused by the request, not by the server or the load
+            # The outcome is caused by the request, not by the server or the load.
+            self.record_response(record)
         elif outcome in _TIMEOUT_OR_CANCELLED and request is not None:
             # If the request is None, the attempt was not needed any more, for example because another attempt
             # responded first.
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -19,7 +19,7 @@
 
     Args:
         record: the record of the endpoint.
-        timeout_ms: the time that is too long if one attempt is in flight.
+        timeout_ms: the time after which the endpoint counts as unresponsive if one attempt is in flight.
         now: the current time in milliseconds.
     """
     if not record.in_flight:
@@ -72,7 +72,8 @@
         """Skip an endpoint for this duration, unless too many possible replacements are already excluded.
 
         The possible replacements are the endpoints that the subset prefers.  If attempts in other zones have
-        a cost, these are endpoints of the node's own zone, so that skipping sends no attempts to other zones.
+        a cost, these are endpoints of the node's own zone.  Skipping an endpoint then does not cause attempts
+        in other zones.
         """
         now, records = self._context.now, self._context.endpoints.selectable
         local = [records[i].outlier for i in self._subset.prefer_local(list(range(len(records))))]
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -108,8 +108,8 @@
 
         All endpoints with an attempt of the request in flight must be unresponsive: an endpoint that responds
         to other attempts is probably busy with long work, which a cancellation would waste.  The retry budget
-        must have a token, and latencies must meet their target.  Their bound relative to the baseline latency
-        is not checked, because latencies of twice the baseline are no overload at an inner tier.
+        must have a token, and latencies must meet their target.  Latencies may exceed the bound that depends
+        on the baseline latency, because latencies of twice the baseline are no overload at an inner tier.
         """
         timeout = self._monitor.class_latencies[request.class_index].attempt_timeout()
         unresponsive = all(
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -116,9 +116,10 @@
     def candidates(self, request: Request, final_attempt: bool) -> list[int]:
         """Return the indices of the endpoints from which the next attempt's endpoint is drawn.
 
-        The health and the limits of endpoints are ignored for a final attempt, and if so many endpoints are
-        unhealthy that the cause must be common to all.  Circuit breakers always apply: behind an open circuit
-        breaker the attempt would most likely fail, while a rejection of the request is harmless.
+        A final attempt is the last try to send a request after its queue timeout.  The health and the limits
+        of endpoints are ignored for a final attempt, and if so many endpoints are unhealthy that the cause
+        must be common to all.  Circuit breakers always apply: behind an open circuit breaker the attempt
+        would most likely fail, while a rejection of the request is harmless.
         """
         allowed, excluded = self._allowed(request)
         usable = allowed
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -11,11 +11,11 @@
     """The rate of work that a server gets while it is warming up, relative to a warm server's rate.
 
     Attributes:
-        margin: the rate of work, relative to a warm server's rate, divided by the server's capacity fraction.
-            It exceeds 1, because the settings give the minimum capacity of any server, while most servers
-            have one and a half times this capacity.
-        max_overload_fraction: the maximum of the margin, as a fraction of overload_multiple, which is the
-            load, in multiples of its capacity, above which a server that is warming up fails.
+        margin: a server that is warming up gets a warm server's rate of work, multiplied by the capacity
+            fraction of the server and by this margin.  The margin exceeds 1, because the settings give the
+            minimum capacity of any server, while most servers have one and a half times this capacity.
+        max_overload_fraction: the maximum of the margin, as a fraction of ``Settings.overload_multiple``.  A
+            server that is warming up fails if its load is more than overload_multiple times its capacity.
         default_span_ms: the time over which the answered work is averaged if no warm-up time is set, in
             milliseconds.
     """
@@ -91,7 +91,7 @@
         return max(1.0, sum(fraction(r) for r in self._context.endpoints.selectable if not r.outlier.ejected))
 
     def rate_per_warm_server(self) -> float:
-        """Return the rate of this node's answered work per warm server's worth of capacity."""
+        """Return the rate of this node's answered work, divided by the total capacity in warm servers."""
         return self._answered_work.per_ms(self._context.now) / self.total_capacity()
 
     def min_rate(self) -> float:
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -21,8 +21,9 @@
             other endpoints.
         size: the minimum number of endpoints in a subset, which has up to twice as many.  With this size,
             several endpoints remain to choose from even if half of the endpoints in a subset fail.
-        min_nodes: the minimum number of nodes that share each endpoint, so that the random walks of their
-            probability vectors cancel out.
+        min_nodes: the minimum number of nodes that share each endpoint.  The probability vector of each node
+            varies at random, and these variations cancel out in the load that the endpoint gets from several
+            nodes.
     """
 
     min_local: int = 2
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -76,7 +76,8 @@
         deduplication_window_ms: the time for which servers remember an idempotency key, counted from the
             first attempt that may have been executed.
         streaming: whether responses are forwarded while they arrive.
-        latency_objective_stretch: the multiple of the request's own work by which the objective grows.
+        latency_objective_stretch: the factor by which the work of a request is multiplied to get the time
+            that is added to the objective for this request.
     """
 
     name: str
@@ -127,7 +128,7 @@
         tenants: the tenants; events refer to a tenant by its position.
         node_count: the number of nodes of this tier.
         node_index: this node's position among the nodes of this tier.
-        tier_index: the tier that this node forwards to; 0 is the first, outermost tier.
+        tier_index: the number of the tier that this node forwards to; the outermost tier has the number 0.
         tier_count: the number of tiers.
         zone: this node's zone.
         zone_count: the number of zones.
--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the policy: events in, actions out, one file for each of its parts."""
+"""Tests of the policy, which pass events to it and check the resulting actions; one file for each part."""
--- a/tests/policy/simulated_fleet.py
+++ b/tests/policy/simulated_fleet.py
@@ -58,7 +58,7 @@
 
 
 class Fleet:
-    """Nodes that share servers, each of which has a queue.
+    """Nodes that share servers; each server has a queue.
 
     When servers are replaced, the request rate rises by half.  No node knows what the others send.
 
--- a/tests/policy/test_circuit_breakers.py
+++ b/tests/policy/test_circuit_breakers.py
@@ -68,7 +68,7 @@
         serve_class(host, NON_IDEMPOTENT_CLASS, Outcome.OK)
     requests = [host.receive_request(NON_IDEMPOTENT_CLASS) for _ in range(18)]
     endpoints = [host.requests[r].endpoint_of(0) for r in requests]
-    assert endpoints.count(FAULTY) >= 2  # no longer a single trial at a time
+    assert endpoints.count(FAULTY) >= 2  # a half-open circuit breaker admits only one at a time
     host.end_attempts(requests)
     serve_class_until(host, Outcome.ERROR)
     # One more error does not open the circuit breaker again.
--- a/tests/policy/test_congestion.py
+++ b/tests/policy/test_congestion.py
@@ -48,9 +48,10 @@
 def test_rejections_signal_congestion_only_if_more_than_a_third_of_the_endpoints_reject(
     rejecting: int, sheds: bool
 ) -> None:
-    """Latencies stay just below their target, so that a single rejection that counts starts load shedding.
+    """Servers that drain one after another reject requests without any congestion.
 
-    Servers that drain one after another reject requests without any congestion.
+    Latencies stay just below their target, so that load shedding starts as soon as a single rejection is
+    taken as a signal of congestion.
     """
     host = make_host(endpoint_count=5)
     host.serve(18, latency_ms=380.0)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -146,7 +146,8 @@
 ) -> None:
     """Each poll, including the first of a new node, fails after ``answer_ms`` or (if None) is not answered.
 
-    Whatever the settings allow, a node counts as notified of a change 6 s after discovery learned of it.
+    Two polls may fail within 6 s, because a node counts as notified of a change 6 s after discovery learned
+    of it, even if the settings allow longer intervals between polls.
     """
     settings = replace(POLLING_SETTINGS, max_poll_interval_ms=max_poll_interval_ms)
     for seed in range(20):
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -80,7 +80,7 @@
     action_count = len(host.actions)
     for _ in range(40):
         host.end_attempt(host.receive_request(), 0, Outcome.OK)
-    for _ in range(24):  # with so many in flight, the silent endpoint's limit would allow it more
+    for _ in range(24):  # so many in flight that the silent endpoint's limit would allow more
         host.receive_request()
     assert len(host.endpoints_sent_to(action_count)) == 64
     assert silent not in host.endpoints_sent_to(action_count)
@@ -91,14 +91,14 @@
 def test_a_late_outcome_starts_a_cooldown_only_if_the_endpoint_was_silent(
     outcome: Outcome, answers: bool
 ) -> None:
-    """At a node with few requests, the latency average of an overloaded server rises too late."""
+    """A node with few requests must not wait until the latency average shows that a server is overloaded."""
     host = make_host(endpoint_count=5)
     host.serve(60)
     late = host.receive_request()
     endpoint = host.requests[late].endpoint_of(0)
     others = [host.receive_request() for _ in range(12)]
     host.now += 100.0
-    for request in others:  # a silent endpoint answers none of these before the late request
+    for request in others:  # unless ``answers`` is set, the endpoint answers none of these before ``late``
         for number in list(host.in_flight(request)):
             if answers or host.requests[request].endpoint_of(number) != endpoint:
                 host.end_attempt(request, number, Outcome.OK)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -109,7 +109,10 @@
 
 @pytest.mark.parametrize(("remaining_ms", "sent"), [(0.0, False), (4.0, False), (50.0, True)])
 def test_no_attempt_is_sent_within_a_tick_of_the_deadline(remaining_ms: float, sent: bool) -> None:
-    """An event may arrive when the timer that rejects the request is due but has not fired yet."""
+    """No event may cause an attempt when the deadline is less than a tick away.
+
+    Such an event may arrive when the timer that rejects the request is due but has not fired yet.
+    """
     host = host_with_cells(IDEMPOTENT, 0)
     request = host.receive_request()
     host.now = host.requests[request].deadline - remaining_ms
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -131,7 +131,7 @@
         self._balancer.handle(EndpointListUpdate(EndpointListKind.FULL, tuple(rows)), 1.0)
 
     def subset(self, draws: int = 100) -> set[EndpointId]:
-        """Return the endpoints that get any of ``draws`` requests while nothing else is in flight."""
+        """Send ``draws`` requests one at a time and return the endpoints that got at least one of them."""
         endpoints = set()
         for _ in range(draws):
             # The node does not learn from a client error, so that all draws have the same probabilities.
@@ -193,7 +193,7 @@
     replaced = 0
     for index in range(ENDPOINTS):
         replaced += len(Node(index).subset() - Node(index, absent=frozenset({5})).subset())
-    assert replaced < ENDPOINTS  # on average less than one of the six or more endpoints of a subset
+    assert replaced < ENDPOINTS  # less than one per node, although a subset has at least six endpoints
 
 
 def test_a_subset_that_has_drained_is_replaced() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -45,7 +45,10 @@
 
 
 def test_the_budget_of_a_warming_endpoint_counts_warming_capacity_too() -> None:
-    """With most servers replaced, the response rate per warm server is more than a warm server sustains."""
+    """The rate that warm servers sustain is estimated from the capacity of all servers.
+
+    If only warm servers counted, the estimate would be too high when most servers have been replaced.
+    """
     per_s, steady_s, pause_s = 200, 4.0, 0.5 * WARM_UP_MS / 1000.0
     host = host_with_restarts(warm=2, restarted=2, per_s=per_s)
     host.advance(0.5 * WARM_UP_MS)
@@ -60,7 +63,8 @@
     responses_per_s = 4 * per_s * fraction / (1.0 - math.exp(-(steady_s + pause_s) / span_s))
     capacity = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * 0.5
     per_warm_server = responses_per_s / (2 + 2 * capacity)
-    for endpoint in (bytes([2]), bytes([3])):  # 1.5 times its share, for a window of 1 s
+    # A full budget is the work of an overload window of 1 s, at 1.5 times the rate that the capacity allows.
+    for endpoint in (bytes([2]), bytes([3])):
         assert sent[endpoint] == pytest.approx(1.5 * capacity * per_warm_server, abs=1.0)
 
 
