--- a/load_balancer/proxy/downstream/connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -41,7 +41,7 @@
 
 
 class EvictionTable(typing.Protocol):
-    """A table that keeps the order in which connections are evicted."""
+    """The interface of a connection table that its connections use to update the order of eviction."""
 
     def update_eviction(self, connection: DownstreamConnection) -> None:
         """Move the connection to the end of the eviction queue of its current priority."""
@@ -100,17 +100,19 @@
     ``ConnectionState`` lists the states of a connection and their transitions.  Three flags are independent
     of the state:
 
-    * ``answered`` and ``received_api_request`` occur in all four combinations.  A connection may have sent
-      only responses to readiness checks or to invalid input, and an accepted request may still wait for the
-      first response.  Neither flag is ever reset.
-    * ``write_paused`` is set and reset by the event loop in any state, once a response has been written.
+    * ``answered`` and ``received_api_request`` are also independent of each other.  Only ``answered`` is set
+      if all responses so far were to readiness checks or to invalid input.  Only ``received_api_request`` is
+      set while the first accepted request waits for its response.  Neither flag is ever reset.
+    * ``write_paused`` is set and reset by the event loop in any state, but only after a response has been
+      written.
 
     Attributes:
         owner: the server that accepted the connection.
         transport: the transport of the connection.
         state: whether the connection accepts requests, only sends responses, or has finished.
-        waiting_since: when the connection was opened, when a response was last written, or when a request
-            last began after a response, whichever is latest (monotonic, seconds).
+        waiting_since: the start of the current wait (monotonic, seconds).  This is the time at which the
+            connection was opened, the last response was written, or, once the connection has sent a
+            response, the first input of the next request was read, whichever is latest.
         last_input_at: when input was last read (monotonic, seconds).
         answered: whether a response has been written to the connection.
         received_api_request: whether a valid request under /api has been read from the connection.
@@ -147,7 +149,8 @@
         self._reader = HttpReader(self._on_request, requests=True)
         self._responses = ResponseQueue()
         self._accepted_after = accepted_after
-        self._arrived_at_s = 0.0  # The current input arrived after this time.
+        # The earliest time at which the input that was read last can have arrived (monotonic, seconds).
+        self._arrived_at_s = 0.0
         self._discarded_bytes = 0
         self._linger_timer: asyncio.TimerHandle | None = None
         self._open_requests_timer: asyncio.TimerHandle | None = None
@@ -197,7 +200,8 @@
             return
         self._arrived_at_s = self.owner.iterations.earliest_arrival()
         if not self.answered and self._arrived_at_s <= self.waiting_since:
-            # The input may have arrived while the connection was in the backlog, before it was accepted.
+            # The input may have arrived while the connection waited in the backlog to be accepted.  It is
+            # known only that the input did not arrive before the connection did.
             self._arrived_at_s = self._accepted_after
         self.last_input_at = self.owner.now()
         if self.answered and self.phase is IDLE:
@@ -284,7 +288,7 @@
         self._update_reading()
 
     def respond_with_error(self, status: int, slot: ResponseSlot | None = None) -> None:
-        """Send an error response to invalid or late input, and close the connection.
+        """Send an error response to invalid input or to an overdue request, and close the connection.
 
         The error response follows the responses to the earlier requests.  Earlier requests that are still
         open have OPEN_REQUESTS_TIMEOUT_S for their responses.  After this time they are answered with the
@@ -325,7 +329,7 @@
         self._linger_timer = loop.call_later(LINGER_S, self.abort_when_sent)
 
     def abort_when_sent(self) -> None:
-        """Close the connection, or wait again while a part of the last response is unsent."""
+        """Abort the connection if its last response has been sent; otherwise wait LINGER_S again."""
         if self.transport.has_unsent_output():
             self._linger()  # An abort would discard the unsent part.
         else:
--- a/load_balancer/proxy/downstream/connection_state.py
+++ b/load_balancer/proxy/downstream/connection_state.py
@@ -30,8 +30,8 @@
     ``INPUT_ENDED``         idle timeout or eviction closes the connection            ``FINISHED``
     ======================  ========================================================  ======================
 
-    Aborting the transport does not change the state, because the event loop reports the end of the connection
-    next.
+    Aborting the transport does not change the state.  The event loop reports the end of the connection soon
+    after the abort, and then the connection is discarded.
     """
 
     ACCEPTING_REQUESTS = "accepting_requests"
--- a/load_balancer/proxy/downstream/disconnect_poller.py
+++ b/load_balancer/proxy/downstream/disconnect_poller.py
@@ -7,8 +7,8 @@
 from load_balancer.proxy.downstream.connection import DownstreamConnection
 
 # The interval between polls in seconds.  While a connection is not read, only a poll of its socket shows that
-# the client has left.  Each attempt polls the socket before it starts.  A request that waits and starts no
-# attempt needs the polls at this interval: they end the request if its client has left.
+# the client has left.  Each attempt polls the socket before it starts.  While a request waits and starts no
+# attempt, only the polls at this interval can find that its client has left, and then end the request.
 DISCONNECT_CHECK_S = 0.1
 
 
--- a/load_balancer/proxy/downstream/eviction.py
+++ b/load_balancer/proxy/downstream/eviction.py
@@ -53,8 +53,9 @@
 
     Attributes:
         transport: the transport of the connection.
-        waiting_since: when the connection was opened, when a response was last written, or when a request
-            last began after a response, whichever is latest (monotonic, seconds).
+        waiting_since: the start of the current wait (monotonic, seconds).  This is the time at which the
+            connection was opened, the last response was written, or, once the connection has sent a
+            response, the first input of the next request was read, whichever is latest.
         received_api_request: whether a valid request under /api has been read from the connection.
     """
 
@@ -112,7 +113,11 @@
 
 
 def evict(connection: EvictableConnection) -> None:
-    """Close a connection: at once after its last response, otherwise once its output has been sent."""
+    """Close a connection to admit a new one.
+
+    Abort the connection if its last response has been written; otherwise close it once its output has been
+    sent.
+    """
     if connection.phase is CLOSING:
         connection.abort(CloseReason.EVICTED)
     else:
--- a/load_balancer/proxy/downstream/listener.py
+++ b/load_balancer/proxy/downstream/listener.py
@@ -112,7 +112,7 @@
         return bound
 
     def close(self) -> None:
-        """Stop listening and drop the connections that are being opened."""
+        """Stop listening, and drop accepted connections that are not in the connection table yet."""
         self._stop_accepting()
         if self._pause_timer is not None:
             self._pause_timer.cancel()
@@ -155,7 +155,10 @@
         self._waiting_since = arrived_after
 
     def _arrived_after(self) -> float:
-        """Return a monotonic time, in seconds, after which all connections accepted now have arrived."""
+        """Return the earliest time at which a connection accepted now can have arrived (monotonic, seconds).
+
+        A connection is assumed to have waited in the backlog for at most MAX_ACCEPT_DELAY_S.
+        """
         arrived_after = self._iterations.earliest_arrival()
         if self._waiting_since is None:
             return arrived_after
--- a/load_balancer/proxy/downstream/response_queue.py
+++ b/load_balancer/proxy/downstream/response_queue.py
@@ -30,9 +30,9 @@
     def fail_open_requests(self, status: int) -> None:
         """Answer every request that has no response yet with this status code.
 
-        The last slot holds the error response to invalid or late input.  This slot is removed, because the
-        response in the slot before it now closes the connection.  That response has the same status code as
-        the removed response, unless it was already available.
+        The last slot holds the error response that ``DownstreamConnection.respond_with_error`` has added.
+        Remove this slot, and close the connection after the response in the slot before it instead.  That
+        response has the status code of the removed response, unless it was already available.
         """
         if self:
             self.pop()
--- a/load_balancer/proxy/downstream/response_slot.py
+++ b/load_balancer/proxy/downstream/response_slot.py
@@ -1,4 +1,4 @@
-"""The slot for the response to a client's request."""
+"""Holds the response to a client's request until the response can be sent."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/downstream/timeouts.py
+++ b/load_balancer/proxy/downstream/timeouts.py
@@ -11,8 +11,9 @@
 
 # The time in which a request must be complete.  FIRST_REQUEST_TIMEOUT_S applies until a connection has sent a
 # valid request under /api, and REQUEST_TIMEOUT_S applies afterwards.  A client that connects usually has a
-# request.  If no request is complete in time, the node answers or closes the connection.  Together with the
-# check interval and the network delay, this takes less than the 3 s that the protocol allows.
+# request.  If no request is complete in time, the node answers or closes the connection.  The sum of
+# FIRST_REQUEST_TIMEOUT_S, the check interval and the network delay is less than the 3 s that the protocol
+# allows.
 FIRST_REQUEST_TIMEOUT_S = 2.25
 REQUEST_TIMEOUT_S = 10.0
 # The time in which the next piece of an incomplete request must arrive.  The protocol also requires an
@@ -32,8 +33,9 @@
     """The interface of a connection that the timeouts use.
 
     Attributes:
-        waiting_since: when the connection was opened, when a response was last written, or when a request
-            last began after a response, whichever is latest (monotonic, seconds).
+        waiting_since: the start of the current wait (monotonic, seconds).  This is the time at which the
+            connection was opened, the last response was written, or, once the connection has sent a
+            response, the first input of the next request was read, whichever is latest.
         last_input_at: when input was last read (monotonic, seconds).
         received_api_request: whether a valid request under /api has been read from the connection.
         write_paused: whether writing is paused because the client does not read the output fast enough.
@@ -52,7 +54,7 @@
         """Return whether unread input has arrived while the connection still accepts requests."""
 
     def respond_with_error(self, status: int) -> None:
-        """Send an error response to invalid or late input, and close the connection."""
+        """Send an error response to invalid input or to an overdue request, and close the connection."""
 
     def abort(self, reason: CloseReason) -> None:
         """Close the connection at once and discard output that has not been sent."""
--- a/load_balancer/proxy/event_loop/clock.py
+++ b/load_balancer/proxy/event_loop/clock.py
@@ -8,8 +8,9 @@
 class Clock:
     """Unix time in milliseconds, advanced by the monotonic clock.
 
-    The clock never goes backwards.  Even if the system's clock is set, the times of this clock remain
-    comparable with the start times of endpoints.
+    The system's clock is read only once, when this object is created.  So the times never go backwards, even
+    if the system's clock is set.  They are Unix times because they are compared with the start times of
+    endpoints, which are Unix times too.
     """
 
     def __init__(self) -> None:
--- a/load_balancer/proxy/event_loop/loop_iterations.py
+++ b/load_balancer/proxy/event_loop/loop_iterations.py
@@ -27,7 +27,10 @@
         self._marked = False
 
     def mark_activity(self) -> None:
-        """Mark this iteration as one that does work; call this method before the work, once or more often."""
+        """Mark this iteration as one that does work.
+
+        Call this method before the work.  Further calls in the same iteration have no effect.
+        """
         if self._marked:
             return
         self._marked = True
--- a/load_balancer/proxy/http/reader.py
+++ b/load_balancer/proxy/http/reader.py
@@ -261,10 +261,10 @@
         """Determine how the body of a message ends, and reject unsupported framing and bodies over the limit.
 
         The end of a body is given by Content-Length, by chunked encoding, or, for a response only, by the
-        close of the connection.  httptools itself rejects a message with both headers and a Content-Length
-        that is not a number.  A response without either header ends when the sender closes the connection
-        (RFC 9112, section 6.3), unless its status code implies that it has no body.  A connection reset does
-        not count as this close.
+        close of the connection.  httptools itself rejects a message that has both Content-Length and
+        Transfer-Encoding, and a message whose Content-Length is not a number.  A response without either
+        header ends when the sender closes the connection (RFC 9112, section 6.3), unless its status code
+        implies that it has no body.  A connection reset does not end such a response.
         """
         length = message.headers.get(CONTENT_LENGTH)
         coding = message.headers.get(TRANSFER_ENCODING)
--- a/load_balancer/proxy/lifecycle/configuration_reload.py
+++ b/load_balancer/proxy/lifecycle/configuration_reload.py
@@ -28,12 +28,13 @@
         self._timers = TimerGroup()
 
     def after_start(self) -> None:
-        """Apply a SIGHUP that arrived before the node handled signals.
+        """Apply a change of the file whose SIGHUP arrived before the node handled signals.
 
         Call this method after the signal handlers have been installed.
 
-        The environment contains the address from the time at which the process was started.  A file with a
-        different address, or a file that was replaced after it was read, is newer than the environment.
+        The address in the environment was set when the process was started.  The file is assumed to be newer
+        if its address differs from the address in the environment, or if the file has been replaced since
+        the node read it.  In both cases the address in the file is applied.
         """
         config = self._config
         if read_file_stamp(config.path) != config.file_stamp:
--- a/load_balancer/proxy/lifecycle/graceful_shutdown.py
+++ b/load_balancer/proxy/lifecycle/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of a node."""
+"""Shuts a node down gracefully: the node answers its requests before a deadline and then stops."""
 
 from __future__ import annotations
 
@@ -44,7 +44,8 @@
     def begin(self) -> None:
         """Begin the shutdown; call this method only once."""
         self.deadline.begin()
-        # SIGKILL follows shortly after this time, and a failure response is better than no response.
+        # SIGKILL follows shortly after answer_within_s.  Requests that are still open after answer_within_s
+        # are failed, because a failure response is better than no response.
         self._timers.call_later(self.deadline.answer_within_s, self._fail_open_requests)
         self._downstream.drain()
         self._timers.call_later(MIN_DRAIN_S, self.check_drained)
@@ -55,7 +56,8 @@
         if not self._downstream.is_busy() and now - self._downstream.last_activity >= QUIET_PERIOD_S:
             self._stop()
         elif self.deadline.is_over(now):
-            # A request that arrives after this time could be accepted but not answered, so accept none.
+            # The node stops after FLUSH_S.  A request that arrived in this time could be accepted but not
+            # answered, so the node accepts no further request.
             self._downstream.end_input()
             self._fail_open_requests()
             self._timers.call_later(FLUSH_S, self._stop)
--- a/load_balancer/proxy/lifecycle/readiness.py
+++ b/load_balancer/proxy/lifecycle/readiness.py
@@ -25,8 +25,8 @@
     def is_ready(self) -> bool:
         """Return whether the node knows an endpoint that is listed as serving.
 
-        If an agent pushes the lists, the node is ready only after input from the agent, or after
-        FIRST_LIST_WAIT_S.
+        If an agent pushes the endpoint lists, the node is ready only after it has received input from the
+        agent, or FIRST_LIST_WAIT_S after the start.
         """
         notified = self._discovery.has_received_input or not self._lists_are_pushed
         wait_is_over = time.monotonic() - self._started_at >= FIRST_LIST_WAIT_S
--- a/load_balancer/proxy/lifecycle/shutdown_deadline.py
+++ b/load_balancer/proxy/lifecycle/shutdown_deadline.py
@@ -29,7 +29,7 @@
         return self._began_at is not None
 
     def begin(self) -> None:
-        """Start to count the time from now; call this method only once."""
+        """Record that the shutdown begins now; call this method only once."""
         self._began_at = time.monotonic()
 
     def limit_budget(self, budget_ms: float) -> float:
@@ -39,6 +39,10 @@
         return min(budget_ms, 1000.0 * (self._began_at + self.answer_within_s - time.monotonic()))
 
     def is_over(self, now: float) -> bool:
-        """Return whether the shutdown must end at the monotonic time now, even if requests are open."""
+        """Return whether the shutdown must end, even if requests are open.
+
+        Args:
+            now: the monotonic time in seconds.
+        """
         assert self._began_at is not None
         return now - self._began_at > self.answer_within_s + KILL_MARGIN_S / 2
--- a/load_balancer/proxy/lifecycle/signals.py
+++ b/load_balancer/proxy/lifecycle/signals.py
@@ -18,8 +18,9 @@
 class OncePerIteration:
     """Coalesces requests for a call: the callback runs once, in the next iteration of the event loop.
 
-    The event loop handles pending signals until none is left.  If handling a signal, which may include
-    reading a file, took longer than the next signal takes to arrive, no other callback would ever run.
+    The event loop handles pending signals until none is left.  If it called the callback, which may read a
+    file, for each signal, and if each call took longer than the interval between two signals, no other
+    callback of the event loop would ever run.
     """
 
     def __init__(self, callback: Callable[[], None]) -> None:
--- a/load_balancer/proxy/observability/rule_monitor.py
+++ b/load_balancer/proxy/observability/rule_monitor.py
@@ -44,8 +44,8 @@
     """Counts and logs rule violations.
 
     Attributes:
-        violations: how often each rule was violated, or would have been violated without the
-            check right before the write or rejection.
+        violations: the number of violations of each rule.  It includes the violations that were found and
+            prevented by the check right before an attempt was written or a request was rejected.
     """
 
     def __init__(self) -> None:
