--- a/load_balancer/proxy/downstream/connection.py
+++ b/load_balancer/proxy/downstream/connection.py
@@ -30,8 +30,8 @@
 MAX_PIPELINED_REQUESTS = 16
 # With this many open requests the connection is not read.  Further input waits in the socket buffers.
 PAUSE_READING_AT = 2
-# The error response to invalid input follows the responses to the open requests before it.  These requests
-# have this time for their responses.
+# The error response to invalid input waits at most this long for the responses to the earlier requests that
+# are still open.  After this time those requests get the same error status.
 OPEN_REQUESTS_TIMEOUT_S = 2.25
 # The time between the last response and the close, in which the client can read the response.  A close with
 # unread input resets the connection at once, so the client might not receive the response.
--- a/load_balancer/proxy/downstream/listener.py
+++ b/load_balancer/proxy/downstream/listener.py
@@ -189,7 +189,7 @@
             self.opening -= 1
 
     def _pause(self, waiting_since: float) -> None:
-        """Leave the pending connections in the backlog and stop accepting for the current pause."""
+        """Stop accepting for the length of the pause; pending connections stay in the backlog meanwhile."""
         self._waiting_since = waiting_since
         self._stop_accepting()
         self._pause_timer = self._loop.call_later(self._pause_s, self._start_accepting)
--- a/load_balancer/proxy/downstream/request_parsing.py
+++ b/load_balancer/proxy/downstream/request_parsing.py
@@ -22,7 +22,7 @@
 MAX_COST_HINT_US = 1e9
 
 # The format of a decimal number in a header.  float() accepts more formats than the protocol does.  Clients
-# print calculated values with up to 50 decimals.
+# send the results of calculations, which have up to 50 digits after the decimal point.
 _DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,64})?")
 
 
--- a/load_balancer/proxy/event_loop/socket_poll.py
+++ b/load_balancer/proxy/event_loop/socket_poll.py
@@ -9,7 +9,7 @@
 
 
 def poll_socket(descriptor: int, event: int) -> bool:
-    """Return whether this poll event, an error or a hang-up is pending on the descriptor now."""
+    """Return whether the event (such as ``select.POLLIN``), an error or a hang-up is pending now."""
     poll = select.poll()
     poll.register(descriptor, event)
     return bool(poll.poll(0))
--- a/load_balancer/proxy/observability/rule_monitor.py
+++ b/load_balancer/proxy/observability/rule_monitor.py
@@ -19,7 +19,7 @@
     """The deduplication window of the idempotency key is over."""
 
     OUTSIDE_SCOPE = "outside_scope"
-    """The endpoint shares no idempotency keys with the endpoint that may have run the request."""
+    """The endpoint is not in the deduplication scope of the endpoint that may have run the request."""
 
     CONCURRENT = "concurrent"
     """An earlier attempt is in flight, and the settings forbid hedging."""
