--- a/load_balancer/proxy/observability/rule_monitor.py
+++ b/load_balancer/proxy/observability/rule_monitor.py
@@ -19,7 +19,7 @@
     """The deduplication window of the idempotency key is over."""
 
     OUTSIDE_SCOPE = "outside_scope"
-    """The endpoint shares no idempotency keys with the endpoint that may have run the request."""
+    """The endpoint is not in the deduplication scope of the endpoint that may have run the request."""
 
     CONCURRENT = "concurrent"
     """An earlier attempt is in flight, and the settings forbid hedging."""
@@ -44,8 +44,8 @@
     """Counts and logs rule violations.
 
     Attributes:
-        violations: how often each rule was violated, or would have been violated without the
-            check right before the write or rejection.
+        violations: the number of violations of each rule.  It includes the violations that were found and
+            prevented by the check right before an attempt was written or a request was rejected.
     """
 
     def __init__(self) -> None:
