--- a/fault_soak/__main__.py
+++ b/fault_soak/__main__.py
@@ -42,7 +42,8 @@
         tree: the checkout whose nodes are run.
         parallel: the number of scenarios that run at a time.
         report_path: the file of the report of one seed, or the directory of the reports of several seeds.
-        prove: whether to break one guard at a time and check that the fault test detects it.
+        prove: whether to break one guard at a time and check that the fault test detects it; a guard is code
+            of the node that keeps a rule of the oracle.
         guard: with ``prove``, only the guards whose names contain this text are tested.
         log: whether to print the logs of the nodes.
         shrink: whether to remove faults from the schedule as long as a rule is still broken.
--- a/fault_soak/clients/faulty.py
+++ b/fault_soak/clients/faulty.py
@@ -82,7 +82,9 @@
         connection.abort()
 
     async def _read_pipelined(self, connection: ClientConnection, requests: Sequence[ClientRequest]) -> None:
-        closing = False  # the node reads nothing after a request whose response closes the connection
+        # Whether the last response announced that the node closes the connection. The node then reads none of
+        # the requests that follow on the connection.
+        closing = False
         for position, request in enumerate(requests):
             try:
                 async with asyncio.timeout(request.deadline_s + GIVE_UP_AFTER_S):
--- a/fault_soak/discovery.py
+++ b/fault_soak/discovery.py
@@ -20,17 +20,18 @@
 HEARTBEAT_S = 2.0
 
 SILENT_WATCH_NOTIFIED_S = 6.0
-"""The time in seconds after which a node counts as notified of a change that was not sent to the node.
+"""The time in seconds after which the oracle treats a node as notified of a change, even if it was not sent.
 
-For a node that polls, the time starts when the agent receives the change. For a node whose watches were
-silenced, the time starts when they were silenced.
+This time allows for the interval between two polls of a node, and for the time in which a node detects that
+a watch is silent. For a node that polls, the time starts when the agent receives the change. For a node
+whose watches were silenced, the time starts when they were silenced.
 """
 
 MOVED_NOTIFIED_S = 4.0
-"""The time in seconds after which a node counts as notified of a change if its agent has moved.
+"""The time in seconds from the move of an agent until the oracle treats the node as notified of a change.
 
-The time starts when the agent moves to a new address. A change that is sent earlier counts as notified when
-it is sent.
+The time starts when the agent moves to a new address. If the agent sends the change to the node before this
+time has passed, the oracle treats the node as notified as soon as the change is sent.
 """
 
 
@@ -87,8 +88,8 @@
         split_lists: whether the agent sends lists indented and split into two chunks.
         port: the current port of the agent.
         fired: the number of times that faults of the agent took effect.
-        notified_from: the earliest time, in monotonic seconds, at which a change that was received but not
-            sent counts as notified.
+        notified_from: the time, in monotonic seconds, before which the oracle does not treat the node as
+            notified of a change that the agent has received but not yet sent to the node.
     """
 
     node: str
@@ -151,7 +152,8 @@
         """Send nothing more on the watches that are open now, and leave them open."""
         self.fired += len(self._watches)
         self._silenced |= self._watches
-        # A node detects a silent watch only after a while, so changes count as notified later.
+        # The node needs time to detect that a watch is silent. Until then it cannot know of changes that are
+        # not sent, so the oracle must not yet treat the node as notified of them.
         self.notified_from = max(self.notified_from, History.now() + SILENT_WATCH_NOTIFIED_S)
 
     def reset_watches(self) -> None:
--- a/fault_soak/drawing.py
+++ b/fault_soak/drawing.py
@@ -25,19 +25,23 @@
 COLD_START_FRACTION = 0.15
 MAX_LOAD_PER_S = 150.0  # requests per second that the fault test can handle while other scenarios run
 MIN_NODE_LOAD_PER_S = 3.0
-MAX_WORK_FRACTION = 0.25  # of the latency objective: longer work could not be completed in time
+# The longest planned service time, as a fraction of the shortest latency objective. Requests with a longer
+# service time could not be completed in time.
+MAX_WORK_FRACTION = 0.25
 EARLIEST_BEGIN_S = 1.0  # no fault begins before this time
 FAULT_LENGTH_S = (0.2, 3.0)  # minimum and maximum
-ADDITIONAL_FAULTS = (5, 11)  # minimum and maximum number of faults besides the overlapping pair
-LATEST_FORCED_S = SCENARIO_S - 5.0  # the latest beginning of the first fault of the pair that must overlap
+# Each schedule contains a pair of faults that overlap and whose kinds follow from the seed.
+ADDITIONAL_FAULTS = (5, 11)  # minimum and maximum number of faults besides this pair
+LATEST_FORCED_S = SCENARIO_S - 5.0  # the latest beginning of the first fault of this pair
 LATEST_FREE_S = SCENARIO_S - 3.0  # the latest beginning that is drawn independently of other faults
 LATEST_BEGIN_S = SCENARIO_S - 2.5  # the latest beginning of any additional fault
 END_MARGIN_S = 0.1  # the shortest time between the end of a fault and the end of the scenario
 PAIR_STRIDE = 97
-"""The distance in ``ALL_PAIRS`` between the pairs of kinds of consecutive seeds.
+"""The step in ``ALL_PAIRS`` from the pair of fault kinds of one seed to the pair of the next seed.
 
-The distance is coprime to the number of all pairs, so that consecutive seeds reach each pair. It is large, so
-that the pairs of consecutive seeds differ in both kinds.
+The step is coprime to the number of all pairs, so that a sequence of consecutive seeds reaches every pair.
+Neighbours in ``ALL_PAIRS`` usually have a kind in common. The step is large, so that the pairs of consecutive
+seeds usually differ in both kinds.
 """
 
 ALL_PAIRS = tuple(itertools.combinations(FaultKind, 2))
--- a/fault_soak/endpoints.py
+++ b/fault_soak/endpoints.py
@@ -12,8 +12,8 @@
 class ServerLocation:
     """The zone and the cell in which a server runs.
 
-    The scope of a request class determines which servers remember idempotency keys together: the servers of a
-    zone, of a cell, or all servers.
+    The deduplication scope of a request class determines which servers share their memory of idempotency
+    keys: the servers of a zone, the servers of a cell, or all servers.
     """
 
     server: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The content of a message of a watch: the endpoint list of a generation, or changes up to a generation.
+    """The endpoint list of a generation, or the changes up to a generation, sent as one message of a watch.
 
     ``rows`` contains all endpoints if ``complete`` is true, and otherwise only the rows that have changed.
     """
--- a/fault_soak/history.py
+++ b/fault_soak/history.py
@@ -148,7 +148,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointNotified(HistoryEvent):
-    """A node counts from this time on as notified of a server's state in a generation of the list."""
+    """From this time on, the oracle treats a node as notified of a server's state.
+
+    ``generation`` is the version of the endpoint list in which the server has this state.
+    """
 
     node: str
     server: str
--- a/fault_soak/injection/links.py
+++ b/fault_soak/injection/links.py
@@ -12,8 +12,8 @@
 async def change_state(state: LinkState, environment: Environment, fault: Fault) -> int | None:
     """Change the state of the proxy in front of a server, and return the count of its effects.
 
-    The count is the number of times that this proxy has dropped data or reset a connection so far. For LATE,
-    whose effects cannot be counted, it is 1.
+    The count is the number of times that this proxy has dropped data or reset a connection since it was
+    created. For LATE, whose effects cannot be counted, it is 1.
     """
     server = environment.server_of(fault)
     proxy = server.proxy
--- a/fault_soak/injection/nodes.py
+++ b/fault_soak/injection/nodes.py
@@ -12,10 +12,13 @@
 from fault_soak.servers import Misbehaviour, StubServer
 
 KILL_GRACE_S = 0.7
-"""The time in seconds after the longest deadline of a request at which a node is sent SIGKILL."""
+"""The time in seconds that ``kill_delay_s`` adds to the longest deadline of a request.
+
+A node that receives SIGTERM has this additional time to exit before it is sent SIGKILL.
+"""
 
 MAX_KILL_DEADLINE_S = 3.0
-"""The upper limit in seconds of the deadline that ``kill_delay_s`` uses."""
+"""The limit in seconds to which ``kill_delay_s`` reduces a longer deadline of a request."""
 
 REQUESTS_AFTER_TERM_S = (0.2, 0.4)
 """The minimum and maximum time in seconds after SIGTERM during which clients still send new requests."""
@@ -31,7 +34,10 @@
 
 
 def kill_delay_s(plan: Plan) -> float:
-    """Return the time in seconds after SIGTERM at which a node that is still running is sent SIGKILL."""
+    """Return the time in seconds after SIGTERM at which a node that is still running is sent SIGKILL.
+
+    The time is the longest deadline of a request, at most ``MAX_KILL_DEADLINE_S``, plus ``KILL_GRACE_S``.
+    """
     longest_s = max(request_class.deadline_ms for request_class in plan.settings.classes) / 1000.0
     return min(longest_s, MAX_KILL_DEADLINE_S) + KILL_GRACE_S
 
--- a/fault_soak/nodes.py
+++ b/fault_soak/nodes.py
@@ -53,8 +53,9 @@
         discovery_address: a function that returns the address of the node's agent.
         cached_list: a function that returns the cached endpoint list for the node's configuration.
         history: the history in which starts, exits, log lines and the use of resources are recorded.
-        shim: the control of the shim in the node; None if the machine has no C compiler.
-        library: the path of the shim that the node preloads; None if the machine has no C compiler.
+        shim: the control of the shim in the node; None if the machine has no C compiler. The shim is a
+            library that makes system calls of the node fail.
+        library: the path of the shim, which the node preloads; None if the machine has no C compiler.
         incarnation: the number of the latest process; the first process has the number 1.
         admitted: whether clients send new requests to the node.
         process: the latest process, which may have exited; None before the first start.
--- a/fault_soak/oracle/clients.py
+++ b/fault_soak/oracle/clients.py
@@ -10,11 +10,14 @@
 from fault_soak.oracle.violations import Rule, Violation
 
 ENDED_WITHIN_S = 3.0
-"""The time in seconds within which a node must respond to or disconnect a client that stops mid-request."""
+"""The time in seconds within which a node must react to a client that stops in the middle of a request.
+
+The node must send an error response or close the connection.
+"""
 
 
 def check_incomplete_requests(view: HistoryView) -> Iterator[Violation]:
-    """Check that a client that stops within a request gets an error response or is disconnected in time."""
+    """Check that a client that sends only a part of a request is answered or disconnected in time."""
     ended = {event.client: event.at for event in view.events_of(IncompleteRequestEnded)}
     for stopped in view.events_of(IncompleteRequestStopped):
         subject = f"{stopped.node} client {stopped.client}"
--- a/fault_soak/oracle/logs.py
+++ b/fault_soak/oracle/logs.py
@@ -16,10 +16,10 @@
     r"policy_failed|action_failed|request_failed|request_read_failed|response_deadline_missed|Traceback|invariant_"
 )
 LOCAL_FAULT_EFFECT_S = 0.1
-"""The time in seconds after the end of a fault of a node's system calls in which it may cause an ejection."""
+"""The time in seconds for which a fault of a node's system calls may still cause ejections after its end."""
 
 SERVER_FAULT_EFFECT_S = 3.0
-"""The time in seconds after the end of a fault of a server in which it may still cause an ejection."""
+"""The time in seconds for which a fault of a server may still cause ejections after its end."""
 
 
 def check_reported_faults(view: HistoryView) -> Iterator[Violation]:
--- a/fault_soak/oracle/responses.py
+++ b/fault_soak/oracle/responses.py
@@ -15,7 +15,10 @@
 
 REJECTION_STATUSES = (429, 503)
 MIN_RETRY_AFTER_LIMIT_S = 0.5
-"""The upper limit of Retry-After in seconds if the limit in the settings is lower than this value."""
+"""The smallest upper limit in seconds that the oracle applies to Retry-After.
+
+If the limit in the settings is smaller, the oracle applies this value instead.
+"""
 
 RETRY_AFTER_ROUNDING_S = 0.001
 """The number of seconds by which rounding may raise a Retry-After above its limit."""
@@ -96,8 +99,8 @@
 def _was_killed(view: HistoryView, sent: RequestSent) -> bool:
     """Check whether SIGKILL ended the node process before the response was due.
 
-    The missing response is then not the node's own decision. A request that was sent more than
-    ``TERM_ARRIVAL_S`` after a preceding SIGTERM is not excused.
+    If so, the missing response is not an error of the node. The result is false for a request that was sent
+    more than ``TERM_ARRIVAL_S`` after a preceding SIGTERM, so the response to such a request is not excused.
     """
     incarnation = incarnation_of(sent)
     kill_times = view.signal_times(incarnation, signal.SIGKILL)
--- a/fault_soak/oracle/servers.py
+++ b/fault_soak/oracle/servers.py
@@ -15,9 +15,9 @@
 """The mean of the random service times of a stub server, as a multiple of the planned service time."""
 
 LARGE_BOUND = 30
-"""The smallest bound, in attempts per window, that is treated as the mean of a normal distribution.
+"""The smallest bound, in attempts per window, for which ``_count_tolerance`` uses its smaller tolerance.
 
-From this bound on, the number of attempts in a window is about normally distributed around the bound.
+For a bound of at least this size, the number of attempts in a window is about normally distributed around it.
 """
 
 
@@ -75,9 +75,10 @@
 
 
 def _start_before(view: HistoryView, node: str, at: float) -> float:
-    """Return the start time of the latest process of a node at the given time, or 0 if there is none.
+    """Return the latest start time of a node up to the given time, or 0 if the node had not yet started.
 
-    A node process counts as notified of earlier changes from its start on, but not before.
+    If the node was notified of a change before this start, the oracle treats the process that started as
+    notified of the change from its start on, but not before.
     """
     starts = [start.at for start in view.starts.values() if start.node == node and start.at <= at]
     return max(starts, default=0.0)
@@ -112,5 +113,5 @@
 
 
 def _count_tolerance(bound: float) -> float:
-    """Return by how many attempts the count in a window may exceed its bound by chance."""
+    """Return the number of attempts by which the count in a window may exceed its bound by chance."""
     return float(2 * bound**0.5 + 2 if bound >= LARGE_BOUND else 3 * bound**0.5 + 3)
--- a/fault_soak/oracle/violations.py
+++ b/fault_soak/oracle/violations.py
@@ -19,7 +19,10 @@
     """A request was executed more often than its class allows."""
 
     REJECTED_AFTER_RUN = "refused-after-run"
-    """A request was rejected, which declares a retry safe, after a server may have executed the request."""
+    """A request was rejected although a server may have executed it.
+
+    A rejection declares that a retry is safe.
+    """
 
     HEDGED = "hedged-where-forbidden"
     """Two attempts of a request were in flight at once although the settings forbid hedged requests."""
@@ -58,7 +61,7 @@
     """A node process did not become ready in time."""
 
     BAD_CLIENT = "bad-client"
-    """A client that stopped within a request got no error response and was not disconnected in time."""
+    """A client that sent only a part of a request got no error response and was not disconnected in time."""
 
     DESCRIPTORS = "descriptors"
     """A node had more open descriptors than its limit."""
--- a/fault_soak/proof.py
+++ b/fault_soak/proof.py
@@ -1,4 +1,7 @@
-"""Functions that prove that the fault test detects broken guards of the node."""
+"""Functions that prove that the fault test detects broken guards of the node.
+
+A guard is code of the node that keeps a rule of the oracle.
+"""
 
 from __future__ import annotations
 
--- a/fault_soak/proxy.py
+++ b/fault_soak/proxy.py
@@ -86,7 +86,10 @@
             task.cancel()
 
     def set_state(self, state: LinkState) -> None:
-        """Change the state of the link; the end of SILENT resets all connections, as data may be lost."""
+        """Change the state of the link.
+
+        At the end of SILENT, reset all connections, because some of their data may have been dropped.
+        """
         previous, self.state = self.state, state
         if previous is LinkState.SILENT:
             for writer in list(self._writers):
--- a/fault_soak/reporting.py
+++ b/fault_soak/reporting.py
@@ -51,7 +51,11 @@
 
 
 def print_summary(reports: Sequence[Report]) -> None:
-    """Print the number of scenarios, of overlapping pairs of kinds, and of broken scenarios for each rule."""
+    """Print a summary of the reports of several scenarios.
+
+    The summary contains the number of scenarios, the number of pairs of fault kinds that overlapped, and for
+    each broken rule the number of scenarios in which the rule was broken.
+    """
     broken: Counter[str] = Counter()
     pairs: set[str] = set()
     for report in reports:
--- a/fault_soak/scenario.py
+++ b/fault_soak/scenario.py
@@ -30,7 +30,9 @@
 READY_WITHIN_S = 30.0
 LAG_CHECK_S = 0.01
 LISTEN_PORTS = (12_000, 30_000)
-LOAD_SEED_MASK = 0x5EED  # the random sequence of load and faults must differ from the sequence of the plan
+# The seed of the plan, changed by this mask, is the seed of the random choices during the run. These choices
+# must differ from the choices with which the plan was drawn.
+LOAD_SEED_MASK = 0x5EED
 
 
 @dataclass(slots=True)
--- a/fault_soak/servers.py
+++ b/fault_soak/servers.py
@@ -322,7 +322,10 @@
                 return True
 
     async def _hang(self, reader: asyncio.StreamReader) -> bool:
-        """Wait until the connection ends or more input arrives; return False to make the caller close it."""
+        """Wait until the connection ends or more input arrives.
+
+        Return False, so that the caller closes the connection.
+        """
         with contextlib.suppress(ConnectionError):
             await reader.read(1)
         return False
--- a/fault_soak/settings.py
+++ b/fault_soak/settings.py
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    """The guarantees that servers and clients of the deployment have, and the load that servers can handle.
+    """The time limits that a deployment sets for nodes, and the load that a server handles while warming up.
 
     Attributes:
         response_slack_ms: the time after the deadline within which a response still counts as in time.
--- a/tests/fault_soak/test_oracle.py
+++ b/tests/fault_soak/test_oracle.py
@@ -90,7 +90,7 @@
 
 
 def _broken_rules(*events: HistoryEvent) -> set[Rule]:
-    """Return the rules that are broken in a history in which a node starts and then these events happen."""
+    """Return the rules that are broken in a history with the start of a node and the given events."""
     history = History([START, READY, *events])
     result = ScenarioResult(_plan(), history, worst_lag_s=0.0, shim_loaded=True)
     return {violation.rule for violation in find_violations(result)}
