--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -41,8 +41,8 @@
         The exit code: 0 after SIGTERM or SIGINT, or 2 if the configuration cannot be used.  In the
         latter case, one line on standard error describes the problem.
     """
-    # The default action of SIGHUP would end the process.  If a SIGHUP is ignored here,
-    # ConfigurationReload.after_start() applies the changed configuration file later.
+    # The default action of SIGHUP would end the process.  If a SIGHUP arrives while it is
+    # ignored, ConfigurationReload.after_start() later applies the change of the configuration file.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logging()
     try:
--- a/load_balancer/proxy/__init__.py
+++ b/load_balancer/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""A node that serves real traffic: connects the policy to sockets and leaves all decisions to the policy.
+"""Serves real traffic: connects the policy, which makes all decisions, to sockets.
 
 The core consists of the modules in this folder.  Of these modules, each imports only modules that are above
 it in this list:
--- a/load_balancer/proxy/attempts.py
+++ b/load_balancer/proxy/attempts.py
@@ -26,7 +26,7 @@
         self._request = request
 
     def render(self, seconds_left: float) -> bytes:
-        """Return the bytes of the client's request, with the seconds that are left for it in X-Deadline."""
+        """Return the bytes of the client's request; its X-Deadline header contains the remaining seconds."""
         request = self._request
         return b"%sX-Deadline: %.3f\r\n\r\n%s" % (request.head, seconds_left, request.message.body)
 
@@ -157,7 +157,7 @@
     def on_attempt_ended(
         self, attempt: Attempt, request: PendingRequest, outcome: Outcome, response: HttpMessage | None
     ) -> None:
-        """Report the outcome to the policy; before that, send a response to the client if there is one.
+        """Send the response to the client, if there is one, and then report the outcome to the policy.
 
         The response is sent only if the request is still open.
         """
@@ -175,6 +175,6 @@
             AttemptEnded(request_id, attempt.number, attempt.endpoint_id, outcome, elapsed_ms, finished)
         )
         if served is not None:
-            # This follows the event, so that the policy sees the outcome that ended the request before the
-            # outcomes of the attempts that are withdrawn.
+            # Cancel the unsent attempts only after the event has been handled.  The policy is then told the
+            # outcome that ended the request before it is told the outcomes of the cancelled attempts.
             self._requests.withdraw_unsent(request_id, served)
--- a/load_balancer/proxy/configuration.py
+++ b/load_balancer/proxy/configuration.py
@@ -28,8 +28,8 @@
 from load_balancer.settings_format import read_settings
 
 _DEFAULT_CONNECTION_IDLE_MS = 15_000.0
-# Fewer descriptors would not suffice to serve a single request.  Any higher limit is the platform's choice: a
-# node starts even if the limit is tight.
+# With fewer descriptors, a node could not serve a single request.  Any higher limit of the platform is
+# accepted, even if it allows only few connections.
 _MIN_SOCKETS = 16
 _MIN_MEMORY_MB = 1
 
--- a/load_balancer/proxy/configuration_values.py
+++ b/load_balancer/proxy/configuration_values.py
@@ -27,7 +27,7 @@
 
     @classmethod
     def within(cls, key: str, problem: object) -> ConfigurationError:
-        """Return an error about a part of the value of key; the problem says which part."""
+        """Return an error about a part of the value of ``key``; ``problem`` names the part and its error."""
         return cls(key, str(problem), separator=": ")
 
 
--- a/load_balancer/proxy/descriptors.py
+++ b/load_balancer/proxy/descriptors.py
@@ -9,8 +9,12 @@
 # that are being accepted or closed.
 RESERVED_DESCRIPTORS = 28
 DOWNSTREAM_FRACTION = 0.42  # of the descriptors that are not reserved
-MIN_DOWNSTREAM_FRACTION = 1 / 3  # of the limit: clients with requests may use that many connections
-MIN_UPSTREAM_FRACTION = 1 / 3  # of the descriptors that are not reserved; applies under a tight limit
+# The downstream share is at least this fraction of the descriptor limit, because clients with requests may
+# use that many connections.  If the limit is low, MIN_UPSTREAM_FRACTION takes precedence.
+MIN_DOWNSTREAM_FRACTION = 1 / 3
+# The upstream share is at least this fraction of the descriptors that are not reserved.  This minimum has an
+# effect only if the descriptor limit is low.
+MIN_UPSTREAM_FRACTION = 1 / 3
 # The node accepts this fraction of the limit on downstream connections in addition to the limit.  While no
 # connection can be evicted, it answers requests on the additional connections with 503.
 OVERFLOW_FRACTION = 0.1
--- a/load_balancer/proxy/discovery/endpoint_discovery.py
+++ b/load_balancer/proxy/discovery/endpoint_discovery.py
@@ -22,7 +22,7 @@
 
 
 class FailureHandler(Protocol):
-    """A callback for each failure after which no watch is left, neither open nor being opened."""
+    """A callback that is called when the last watch has failed and no other watch is being opened."""
 
     def __call__(self) -> None:
         """Handle the failure."""
@@ -32,6 +32,9 @@
 class DiscoveryState(Enum):
     """The state of discovery: which watches it keeps.
 
+    After a change of the address of discovery, a watch at the new address is opened: the successor.  It
+    replaces the old watch when it receives its first input.
+
     ====================  =================  ===================================================
     from                  to                 when
     ====================  =================  ===================================================
@@ -55,9 +58,9 @@
     WATCHING = auto()
     """There is one watch, which is open or being opened."""
     MOVING = auto()
-    """A successor is being opened at the new address; the old watch, if any, is kept as long as it works."""
+    """The successor is being opened at the new address.  The old watch, if any, is kept while it works."""
     MOVE_BACKOFF = auto()
-    """The old watch works; another successor is opened after the reconnect delay."""
+    """The old watch works, but the successor has ended; another one is opened after the reconnect delay."""
     RECONNECT_BACKOFF = auto()
     """There is no watch; a new watch is opened after the reconnect delay."""
     UNWATCHED = auto()
@@ -65,14 +68,15 @@
 
 
 class EndpointDiscovery:
-    """Keeps at most one watch, and a successor that replaces it after the address of discovery has changed.
+    """Keeps a watch on the endpoint list, and replaces it after the address of discovery has changed.
 
-    If lists are pushed, the watch connects to the agent on the node's own machine.  Such a watch stays on
-    that machine, so it costs nothing and is opened without a poll by the policy.  Its failures say nothing
-    about the endpoint list and are not reported.
+    If lists are pushed, the watch connects to the agent on the node's own machine.  Such a watch causes no
+    traffic between machines, so it is opened without waiting for the policy to request a poll.  Its
+    failures are local and say nothing about the endpoint list, so they are not reported to the policy.
 
-    When the address of discovery changes, the old watch is kept until the watch at the new address has
-    received input; a failure is reported only when neither watch is left.  See DiscoveryState.
+    When the address of discovery changes, a watch at the new address is opened: the successor.  The old watch
+    is kept until the successor has received input.  If lists are polled, a failure is reported only when
+    neither of the two watches is left.  See DiscoveryState.
     """
 
     def __init__(
@@ -132,7 +136,11 @@
 
     @property
     def watch(self) -> DiscoveryWatch | None:
-        """The current watch, which is open or being opened, but never a successor; None if there is none."""
+        """The current watch, which is open or being opened; None if there is none.
+
+        After a change of the address, the watch at the new address becomes the current watch when it receives
+        input; until then, it is the successor.
+        """
         return self._watch
 
     @property
@@ -142,7 +150,7 @@
 
     @property
     def reconnect_timer(self) -> asyncio.TimerHandle | None:
-        """The timer of the delay before the next watch or successor is opened; None outside of a backoff."""
+        """The timer that opens a watch after the reconnect delay; None if the delay is not running."""
         return self._reconnect_timer
 
     def start(self, version: int) -> None:
@@ -222,7 +230,10 @@
         self._on_listing(listing)
 
     def watch_active(self, watch: DiscoveryWatch) -> None:
-        """Record that the watch has received input; if it is the successor, it replaces the old watch."""
+        """Record that the watch has received input.
+
+        If it is the watch at the new address of discovery, it replaces the old watch.
+        """
         self._has_received_input = True
         if watch is self._successor:
             if self._watch is not None:
@@ -240,7 +251,7 @@
                 self._on_all_ended()
             return
         self._watch = None
-        if self._successor is None:  # otherwise, the old watch has ended and the successor is being opened
+        if self._successor is None:  # otherwise, a watch at the new address is being opened
             self._on_all_ended()
 
     def _back_off_move(self) -> None:
--- a/load_balancer/proxy/discovery/json_stream.py
+++ b/load_balancer/proxy/discovery/json_stream.py
@@ -78,7 +78,7 @@
         """Scan up to the next bracket and return it, or None if more input is needed."""
         begin = self._scanned
         found = _BETWEEN_BRACKETS.match(self._buffer, begin)
-        assert found is not None  # the pattern also matches the empty string
+        assert found is not None  # there is always a match, because the pattern matches the empty string
         self._scanned = found.end()
         if self._depth == 0 and self._buffer[begin : self._scanned].strip(_BLANK):
             raise MalformedStreamError("a value is outside of an object")
--- a/load_balancer/proxy/discovery/watch.py
+++ b/load_balancer/proxy/discovery/watch.py
@@ -1,4 +1,4 @@
-"""A watch: a connection on which discovery sends the endpoint list and then the changes to it."""
+"""Implements a watch: a connection on which discovery sends the endpoint list and then the changes to it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 log = logging.getLogger(__name__)
 
 HEARTBEAT_INTERVAL_S = 2.0  # time between the empty lines that discovery sends while nothing changes
-# If a watch receives nothing more and a change is missed, the protocol counts the node as notified of
-# the change 6 s after the start of the silence, even if the next watches fail.  The silence timeout is one
-# heartbeat interval, and one more second in case a machine is busy.  Of the 6 s, 3 s are then left to receive
-# the change on a new watch.  In this time, two new watches may fail, each with its response timeout and
-# reconnect delay, before the third watch must deliver the change.
+# A watch may become silent and miss a change.  6 s after the start of the silence, the protocol considers the
+# node notified of this change, even if the next watches fail.  The silence timeout consists of one heartbeat
+# interval and one second that allows for a busy machine, so 3 s are left to receive the change on a new
+# watch.  In these 3 s, two new watches may fail, each with its response timeout and reconnect delay, before
+# the third new watch must deliver the change.
 SILENCE_TIMEOUT_S = HEARTBEAT_INTERVAL_S + 1.0
 # Discovery sends each object without a pause, so an object that does not continue has been cut off.
 OBJECT_TIMEOUT_S = 1.0
--- a/load_balancer/proxy/discovery/watch_timing.py
+++ b/load_balancer/proxy/discovery/watch_timing.py
@@ -1,11 +1,11 @@
-"""The response timeout of a watch, and the delay before the next watch is opened."""
+"""Computes the response timeout of a watch and the delay before the next watch is opened."""
 
 from __future__ import annotations
 
-# If lists are pushed, an agent on the node's own machine holds the endpoint list.  The agent responds at
-# once, and each change that the agent holds counts as notified.  The drain grace, within which the node must
-# stop sending to a draining endpoint, therefore includes any delay in reading the change.  The timeout and
-# the delay below must leave most of the drain grace.
+# If lists are pushed, the node reads the endpoint list from an agent on its own machine, which responds at
+# once.  The protocol considers the node notified of a change as soon as the agent has the change.  The drain
+# grace, within which the node must stop sending to a draining endpoint, begins at that moment, so it includes
+# any delay in reading the change.  The timeout and the delay below must leave most of the drain grace.
 RESPONSE_TIMEOUT_FRACTION = 0.4  # of the drain grace
 RECONNECT_DELAY_FRACTION = 0.2  # of the drain grace
 MIN_RESPONSE_TIMEOUT_S = 0.1
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -1,4 +1,4 @@
-"""A node that serves real traffic: creates and connects its parts, and starts and stops them."""
+"""Implements a node that serves real traffic: creates, connects, starts and stops the parts of the node."""
 
 from __future__ import annotations
 
@@ -35,7 +35,8 @@
 # The timeout of a poll, as a fraction of the time between polls of the endpoint list, so that a poll without
 # a response fails before the next poll starts.
 POLL_TIMEOUT_FRACTION = 0.4
-# The fraction of the memory limit that the bodies of open requests may use; buffers may use as much again.
+# The fraction of the memory limit that the bodies of open requests may use.  Buffers may use the same amount
+# in addition.
 BODY_MEMORY_FRACTION = 0.25
 
 
@@ -214,7 +215,10 @@
         self._reload.request()
 
     def stop(self) -> None:
-        """Stop at once, even if requests are open, without reading the input of this event-loop iteration."""
+        """Stop at once, even if requests are open.
+
+        Input that becomes available in the current event-loop iteration is not read any more.
+        """
         self._shutdown.cancel()
         self._driver.cancel_timers()
         self._reload.cancel()
--- a/load_balancer/proxy/request_guard.py
+++ b/load_balancer/proxy/request_guard.py
@@ -1,4 +1,4 @@
-"""The last check before an attempt is written or a request is rejected.
+"""Checks each attempt right before it is written, and each rejection right before it is sent.
 
 The policy decides by its own records.  Right before bytes are sent, the guard checks the decision against an
 independent record of which attempts were written and how they ended.  If the record does not allow the
--- a/load_balancer/proxy/request_handler.py
+++ b/load_balancer/proxy/request_handler.py
@@ -24,12 +24,13 @@
 
 log = logging.getLogger(__name__)
 
-# Time at the end of a request's budget that is reserved for delays by the network and a busy processor: the
-# client's deadline counts from the moment at which the client sends the request.
+# The reserve: the time that is subtracted from a request's budget, because the network and a busy processor
+# cause delays and the client's deadline counts from the moment at which the client sends the request.
 BUDGET_RESERVE_MS = 25.0
-MAX_RESERVE_FRACTION = 0.2  # the reserve is at most this fraction of the budget
+MAX_RESERVE_FRACTION = 0.2  # the reserve is at most this fraction of the client's budget
 # If the policy has not ended a request by the end of its budget, the node itself answers the request this
-# much later, which is still within the reserve unless the budget is very short.
+# much later.  This is still before the client's deadline, because the reserve is longer, unless the client's
+# budget is very short.
 DEADLINE_TIMER_MS = 10.0
 
 
@@ -78,7 +79,7 @@
         """
         client_id = parsed.message.headers[REQUEST_ID]
         if self._table.is_reserved(client_id):
-            # An endpoint could not distinguish these two requests and might confuse their results.
+            # An endpoint could not distinguish two requests with the same id and might confuse their results.
             raise HttpMessageError(409, "a request with this id is open")
         self._table.reserve(client_id)
         now = self._clock.now()
@@ -100,10 +101,11 @@
         )
 
     def _budget_ms(self, parsed: ParsedRequest, slot: ResponseSlot) -> float:
-        """Return the milliseconds that are left for a response, minus the reserve for delays.
+        """Return how many milliseconds the policy has to end the request.
 
         The client's budget counts from the arrival of the request.  A busy event loop reads the request some
-        time after its arrival, so the time since the arrival is subtracted.
+        time after its arrival, so the time since the arrival is subtracted.  The reserve for delays is also
+        subtracted; see BUDGET_RESERVE_MS.
         """
         elapsed_ms = 1000.0 * (time.monotonic() - slot.arrived_at_s)
         budget_ms = self._shutdown_deadline.limit_budget(parsed.budget_ms - elapsed_ms)
--- a/load_balancer/proxy/request_table.py
+++ b/load_balancer/proxy/request_table.py
@@ -1,4 +1,4 @@
-"""The open requests, their attempts in flight, and the client ids that are reserved."""
+"""Holds the open requests, their attempts in flight, and the client ids that are reserved."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/upstream/connection.py
+++ b/load_balancer/proxy/upstream/connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint, which carries one request at a time."""
+"""Implements a connection to an endpoint, which carries one request at a time."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/upstream/connection_limit.py
+++ b/load_balancer/proxy/upstream/connection_limit.py
@@ -1,4 +1,4 @@
-"""The limit on the number of connections to endpoints."""
+"""Limits the number of connections to endpoints."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
         Args:
             max_open: the maximum number of connections that are open or being opened.
-            pools: the pools, which know the open connections and close idle ones at the limit.
+            pools: contain the open connections, and close an idle connection when the limit is reached.
         """
         self.max_open = max_open
         self._pools = pools
--- a/load_balancer/proxy/upstream/endpoint_pool.py
+++ b/load_balancer/proxy/upstream/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The pool of idle connections to one endpoint, which selects the connection for the next request."""
+"""Keeps the idle connections to one endpoint and selects the connection for the next request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 class EndpointPool:
-    """The idle connections to one process of an endpoint; the owner of all connections to that process.
+    """Keeps the idle connections to an endpoint, as long as the same process runs there.
+
+    The pool is the owner of all connections to that process, including those that carry a request.  If the
+    endpoint restarts, it gets a new pool.
 
     Attributes:
         name: the endpoint's id as text, for log lines.
@@ -158,7 +161,7 @@
         self.close_idle()
 
     def reap_idle(self, now: float) -> None:
-        """Raise the idle timeout by one recovery step, and close the connections that were idle for longer.
+        """Raise the idle timeout by one recovery step, and close connections that exceed the timeout.
 
         Args:
             now: the current time of the event loop, in seconds.
--- a/load_balancer/proxy/upstream/idle_timeout.py
+++ b/load_balancer/proxy/upstream/idle_timeout.py
@@ -1,4 +1,4 @@
-"""The idle timeout of connections, which is shortened for an endpoint that closes connections early."""
+"""Computes the idle timeout of connections, which is shorter for an endpoint that closes them early."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/upstream/listed_pools.py
+++ b/load_balancer/proxy/upstream/listed_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of the endpoints that are serving according to the endpoint list."""
+"""Keeps the connection pools of the endpoints that are serving according to the endpoint list."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/upstream/local_errors.py
+++ b/load_balancer/proxy/upstream/local_errors.py
@@ -1,4 +1,4 @@
-"""The errors of connects that fail on the node's own machine, and the backoff after such an error."""
+"""Recognizes connect errors that the node's own machine causes, and computes the backoff after them."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/upstream/pools.py
+++ b/load_balancer/proxy/upstream/pools.py
@@ -1,4 +1,4 @@
-"""The interface of the node to the endpoints: starts requests and closes idle connections."""
+"""Provides the node's interface to the endpoints, which starts requests and closes idle connections."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/upstream/request.py
+++ b/load_balancer/proxy/upstream/request.py
@@ -1,4 +1,4 @@
-"""A request to an endpoint, from its start to its single outcome.
+"""Implements a request to an endpoint, from its start to its single outcome.
 
 A request is never sent twice.  If it ends after its bytes were written to a socket, the endpoint may have
 processed it.  ``Outcome.CONNECT_FAILED`` and ``Outcome.NOT_SENT`` are reported only for a request whose bytes
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from load_balancer.proxy.upstream.connection import UpstreamConnection
 
-# A request with less time left is not written, because the endpoint could not respond in time.  The
-# X-Deadline header and the clock of the event loop have a resolution of one millisecond.
+# A request with less time left than this is not written, because the endpoint could not respond in time.  The
+# value is above the resolution of the X-Deadline header and of the event loop's clock, which is 1 ms.
 MIN_TIME_LEFT_S = 0.002
 
 
--- a/load_balancer/proxy/upstream/waiting_request.py
+++ b/load_balancer/proxy/upstream/waiting_request.py
@@ -1,4 +1,4 @@
-"""Requests that wait until a connection to their endpoint is established."""
+"""Manages the requests that wait until a connection to their endpoint is established."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
         if request.ended:
             return False
         # The pool is retired when its process drains, is removed or restarts.  A request for that process
-        # must not be sent to its successor.
+        # must not be sent to a process that replaces it.
         wanted = not self.pool.retired and request.has_time_left() and request.outbound.is_wanted()
         if not wanted or not request.outbound.may_write():
             request.end(Outcome.NOT_SENT)
--- a/load_balancer/simulator/codec.py
+++ b/load_balancer/simulator/codec.py
@@ -1,4 +1,4 @@
-"""Frames, record headers and record codes of the simulator's wire protocol.
+"""Defines the frames, record headers and record codes of the simulator's wire protocol.
 
 A batch frame carries events to the adapter, and a reply frame carries actions back to the simulator.  Each
 frame is a header followed by records; a record is a code, the length of its fields in bytes, and the fields.
--- a/load_balancer/simulator/encoding.py
+++ b/load_balancer/simulator/encoding.py
@@ -25,7 +25,7 @@
 from load_balancer.simulator.codec import RECORD_HEADER, ActionCode
 
 MAX_TEXT_BYTES = 1000
-"""The maximum size of a text in bytes; longer texts are truncated, because people read them as log lines."""
+"""The maximum size of a text in bytes.  Longer texts are truncated: they are log lines for people to read."""
 
 _SUBSCRIBE = 1
 _TEXT = struct.Struct("<BIIH")
@@ -99,8 +99,8 @@
     return _TEXT.pack(code, length, instance_id, len(content)) + content
 
 
-# The key of each encoder is the type of the encoder's second parameter.  The type of a mapping cannot express
-# this relation, so the parameter is typed as Any.
+# The encoder of each action type, which is the type of the encoder's second parameter.  A Mapping type cannot
+# express that key and parameter have the same type, so the parameter has the type Any here.
 _ENCODERS: Mapping[type[Action], Callable[[int, Any], bytes]] = {
     SendAttempt: _encode_send_attempt,
     RejectRequest: _encode_reject_request,
