--- a/load_balancer/proxy/request_guard.py
+++ b/load_balancer/proxy/request_guard.py
@@ -3,8 +3,9 @@
 The policy decides by its own records.  Right before bytes are sent, the guard checks the decision against an
 independent record of which attempts were written and how they ended.  If the record does not allow the
 decision, either the policy or the guard has a fault.  The caller then does not write the attempt, or it fails
-the request instead of rejecting it, and it reports the violation.  An attempt after the end of the
-deduplication window is counted instead of reported, because a delay on the node's machine can cause it.
+the request instead of rejecting it, and it reports the violation.  A repeated attempt after the end of
+the deduplication window is not written either, but it is only counted and not reported, because a delay on
+the node's machine can cause it.
 """
 
 from __future__ import annotations
--- a/load_balancer/proxy/upstream/connection_opener.py
+++ b/load_balancer/proxy/upstream/connection_opener.py
@@ -50,8 +50,8 @@
         The caller must have checked that the connection limit allows one more connection.  The request ends
         with CONNECT_FAILED if no connection is established in time or the endpoint refuses the connection.
         It ends with NOT_SENT if its deadline expires after a connect has failed on the node's own machine.
-        It also ends with NOT_SENT if, by the time that a connection is established, its response is no longer
-        wanted, it may not be written, too little time is left, or the pool is retired.
+        When a connection is established, the request also ends with NOT_SENT if its response is no longer
+        wanted, if too little time is left, if the pool is retired or if ``may_write`` returns False.
         """
         waiting = WaitingRequest(pool, request)
         waiting.begin_connecting(self._connect_timeout_s, self._give_up)
--- a/load_balancer/proxy/upstream/endpoint_pool.py
+++ b/load_balancer/proxy/upstream/endpoint_pool.py
@@ -77,7 +77,7 @@
 
     @property
     def retired(self) -> bool:
-        """Whether the pool keeps no connections any more.
+        """Whether the pool closes each connection after its request, instead of keeping it.
 
         This is the case when the process is draining, was removed from the endpoint list or was replaced.
         """
--- a/load_balancer/proxy/upstream/waiting_request.py
+++ b/load_balancer/proxy/upstream/waiting_request.py
@@ -70,9 +70,9 @@
         self._cancel_timers()
 
     def needs_connection(self) -> bool:
-        """Return whether a connection for the request is still of use.
+        """Return whether the request still needs a connection.
 
-        It is of no use if the request has ended, its response is no longer wanted, or the pool is retired.
+        It needs none if it has ended, its response is no longer wanted, or the pool is retired.
         """
         return not (self.request.ended or self.pool.retired) and self.request.outbound.is_wanted()
 
