--- a/tests/document_references.py
+++ b/tests/document_references.py
@@ -10,7 +10,8 @@
 
 ROOT = Path(__file__).parent.parent
 SEARCHED_FOLDERS = (".ci", "deploy", "docs", "fault_soak", "load_balancer", "tests", "tools")
-# The first file is only an example; the second exists only while tests are known to fail.
+# Documents may name these files although the repository need not contain them: config.json is an example, and
+# KNOWN-RED.txt exists only while tests are known to fail.
 NOT_IN_REPOSITORY = frozenset({"config.json", "KNOWN-RED.txt"})
 
 _CODE_SPAN = re.compile(r"`([^`\n]+)`")
--- a/tests/log_event_names.py
+++ b/tests/log_event_names.py
@@ -20,7 +20,8 @@
     "critical": "CRITICAL",
 }
 POLICY_LEVEL = "INFO"
-# The format of a log line that consists of one LogEvent; its name is read where the LogEvent is constructed.
+# The format in logging calls that log a complete LogEvent.  Such a call does not contain the name of the
+# event; the name is read where the LogEvent is constructed.
 FORWARDED_TEXT = "%s"
 
 
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -47,10 +47,10 @@
 def _settings(hedging: bool) -> dict[str, Any]:
     """Return settings with which the node opens a connection to an endpoint only for an attempt.
 
-    A slow connection attempt is not raced against a second connection, and an ejected endpoint gets no health
-    check.  Without hedging, a slow attempt is neither cancelled nor hedged.  How often each of these would
-    happen depends on how busy the machine is, and each would take a connection that a request of a burst
-    needs.
+    The node does not open a second connection while a connect is slow, and it sends no health checks to an
+    ejected endpoint.  If ``hedging`` is False, the policy neither hedges nor cancels a slow attempt.  How
+    often each of these would happen depends on how busy the machine is, and each would take a connection that
+    a request of a burst needs.
     """
     limits = policy_limits(
         cancel=hedging, connectTimeoutMs=1000.0 * TIMEOUT_S, mayDuplicate=hedging, probes=False
@@ -117,7 +117,10 @@
         client.close()
 
     async def max_open_descriptors(self) -> int:
-        """Send bursts of requests while idle clients connect; return the most descriptors open in a burst."""
+        """Send bursts of requests, and return the highest number of open descriptors in a burst.
+
+        During each burst, idle clients connect before the descriptors are counted.
+        """
         # Connections that are idle after one burst are still open during the next.
         return max([await self._descriptors_in_burst() for _ in range(4)])
 
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -68,7 +68,7 @@
 
 @async_test
 async def test_sighup_during_process_start_is_handled(tmp_path: Path) -> None:
-    """A node must use a new configuration whose SIGHUP is sent while the node's process starts.
+    """A node must use a new configuration even if SIGHUP is sent while the node's process is starting.
 
     The gate holds the interpreter before the node's own code until the test opens the gate.  Only then does
     the test change the configuration and send SIGHUP.  The interpreter continues meanwhile, so the test does
@@ -89,7 +89,7 @@
         )
         gate_environment = {"NODE_START_GATE": str(gate), "PYTHONPATH": str(tmp_path)}
         process = await start_process({**configuration.environment(old_discovery), **gate_environment})
-        # This open returns when the interpreter has reached its wait, and also ends the wait.
+        # This open returns once the interpreter waits at the gate, and lets the interpreter continue.
         write_end = await asyncio.to_thread(os.open, gate, os.O_WRONLY)
         configuration.set_discovery_address(new_discovery)
         process.send_signal(signal.SIGHUP)
--- a/tests/proxy/blocking_client.py
+++ b/tests/proxy/blocking_client.py
@@ -13,7 +13,7 @@
 
 
 def open_requests(count: int) -> bytes:
-    """Return requests whose deadline is longer than any test takes."""
+    """Return the bytes of ``count`` requests, each with a deadline that is longer than any test takes."""
     return b"".join(request("book", deadline="600") for _ in range(count))
 
 
--- a/tests/proxy/discovery/test_endpoint_discovery.py
+++ b/tests/proxy/discovery/test_endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""The replacement of silent watches, and changes of the address of discovery."""
+"""Tests that silent watches are replaced, and that a new address of discovery is used."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 from tests.proxy.stub_discovery import StubDiscovery, listing, row, send_line
 from tests.proxy.stub_server import StubServer, reply
 
-NOTIFIED_S = 6.0  # time after the start of a silence at which missed changes count as notified
+# When a watch has been silent for this time, the node counts as notified of the changes that it has missed.
+NOTIFIED_S = 6.0
 
 
 async def _bodies(environment: NodeEnvironment, requests: int) -> set[bytes]:
@@ -48,8 +49,8 @@
 async def test_change_missed_by_silent_watch_arrives_in_time_though_next_watch_fails(mode: str) -> None:
     """The watch falls silent, and discovery accepts the next watch without sending a response.
 
-    The test runs with the real timeouts.  The time limit does not depend on the settings, even if these allow
-    polls only rarely.
+    The test runs with the real timeouts.  The time limit does not depend on the settings, so the test uses
+    settings with which the policy may poll only rarely.
     """
     rare_polls = {"mustAskInMs": 600_000.0, "stopSendingWithinMs": 20_000.0}
     loop = asyncio.get_running_loop()
@@ -94,7 +95,10 @@
 
 @async_test
 async def test_watch_without_response_is_reopened() -> None:
-    """While discovery is down, its agent does not respond; the node must not wait long for such a watch."""
+    """Check that a watch without a response is soon replaced.
+
+    While discovery is down, its agent accepts watches but does not respond.
+    """
     guarantees = {"mustAskInMs": 60_000.0, "stopSendingWithinMs": 250.0}
     async with (
         StubServer([reply("200 OK")]) as endpoint,
@@ -131,7 +135,10 @@
 
 @async_test
 async def test_second_move_cancels_reconnect_to_first(tmp_path: Path) -> None:
-    """The backoff after the first move must not open another watch: its end would close the working watch."""
+    """Check that the second move cancels the backoff after the first move.
+
+    The backoff would otherwise open another watch, and the end of that watch would close the working watch.
+    """
     config = tmp_path / "config.json"
     async with (
         StubServer([reply("200 OK")]) as endpoint,
--- a/tests/proxy/discovery/test_endpoint_listing.py
+++ b/tests/proxy/discovery/test_endpoint_listing.py
@@ -1,4 +1,4 @@
-"""Parsing of endpoint lists that discovery sends, and rejection of malformed lists."""
+"""Tests that endpoint lists from discovery are parsed, and that malformed lists are rejected."""
 
 from __future__ import annotations
 
--- a/tests/proxy/discovery/test_json_stream.py
+++ b/tests/proxy/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Splitting of JSON streams in any layout, and detection of malformed input."""
+"""Tests that JSON streams of any layout are split into objects, and that malformed input is detected."""
 
 from __future__ import annotations
 
--- a/tests/proxy/downstream/test_connection_table.py
+++ b/tests/proxy/downstream/test_connection_table.py
@@ -164,9 +164,10 @@
 
 @async_test
 async def test_new_connections_in_small_table_have_time_to_send_requests() -> None:
-    """Check that no new connection in a small table is evicted, and that the next client gets a response.
+    """Check that new connections in a small table are not evicted, and that all clients get responses.
 
-    The connection of the next client waits in the backlog at first.
+    The node is at its connection limit when the last client connects, so that the connection of this client
+    waits in the backlog at first.
     """
     async with (
         StubServer([reply("200 OK")]) as endpoint,
--- a/tests/proxy/lifecycle/test_configuration_reload.py
+++ b/tests/proxy/lifecycle/test_configuration_reload.py
@@ -93,7 +93,8 @@
         (await environment.discovery.watch()).transport.abort()
         await until(lambda: not environment.endpoint_discovery.watch is not None)
         config.write_text(json.dumps({"discovery": new_discovery.address}))
-        environment.node.reload()  # the policy's next poll is seconds away
+        # The policy polls again only after its backoff, of up to 1 s; the reload must open a watch at once.
+        environment.node.reload()
         send_line(await new_discovery.watch(), listing(41, row("a", endpoint.address)))
         await until(lambda: environment.endpoint_discovery.version == 41)
         assert environment.endpoint_discovery.watch is not None
@@ -101,7 +102,10 @@
 
 @async_test
 async def test_configuration_replaced_between_read_and_start_is_applied(tmp_path: Path) -> None:
-    """This happens if SIGHUP arrives before the node handles signals."""
+    """Check that a node uses a configuration that was replaced after the node read it and before it started.
+
+    If SIGHUP for this change arrives before the node handles signals, the node gets no further signal.
+    """
     path = tmp_path / "config.json"
     async with StubDiscovery() as old_discovery, StubDiscovery() as new_discovery:
         limits = {"memory_mb": 192, "sockets": 256}
@@ -130,7 +134,7 @@
             await environment.discovery.watch()
             path.write_text(text[:-2])
             environment.node.reload()
-            path.write_text(text)  # without another signal
+            path.write_text(text)  # completes the file, but sends no further signal
             await new_discovery.watch()
 
 
@@ -160,7 +164,7 @@
         StubDiscovery() as new_discovery,
         running_node(row("a", endpoint.address), path=str(config), registryMode="pushed") as environment,
     ):
-        (await environment.discovery.watch()).transport.abort()  # the watch is broken as well
+        (await environment.discovery.watch()).transport.abort()  # the node's watch breaks before the SIGTERM
         client = await environment.connect_client()
         client.writer.write(open_requests(1))
         await asyncio.wait_for(endpoint.request_received.wait(), TIMEOUT_S)
--- a/tests/proxy/lifecycle/test_signals.py
+++ b/tests/proxy/lifecycle/test_signals.py
@@ -8,7 +8,10 @@
 
 @async_test
 async def test_burst_of_signals_is_handled_once_per_iteration() -> None:
-    """A burst of signals causes one call in each iteration, so that the burst cannot block the event loop."""
+    """Check that the callback runs once in an event-loop iteration, however many signals have arrived.
+
+    A burst of signals could otherwise block the event loop.
+    """
     handled = 0
 
     def handle() -> None:
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -88,7 +88,10 @@
 
 @async_test
 async def test_attempt_is_not_written_after_client_left_unnoticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two open requests pause reading, so that only the poll before each attempt detects the disconnect."""
+    """Check that the node polls the client's connection for a disconnect before it writes an attempt.
+
+    The node does not read from a connection with two open requests, and its periodic polls are too rare here.
+    """
     monkeypatch.setattr(disconnect_poller, "DISCONNECT_CHECK_S", TIMEOUT_S)
     async with (
         StubServer([silent]) as endpoint,
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -52,7 +52,8 @@
     path = tmp_path / "config.json"
     text = path.read_text()
     path.write_text(text[:-20])
-    monkeypatch.setattr("time.sleep", lambda _: path.write_text(text))  # the file is completed in the pause
+    # The file is completed while the node pauses before it reads the file again.
+    monkeypatch.setattr("time.sleep", lambda _: path.write_text(text))
     assert load_configuration(environment).name == "n3"
 
 
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -1,4 +1,7 @@
-"""Tests that the descriptor limit is divided so that no side can use up the descriptors of another."""
+"""Tests of the division of the descriptor limit between connections to clients and to endpoints.
+
+Neither kind of connection may use up the descriptors of the other kind or the reserved descriptors.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -19,7 +19,7 @@
 
 
 def _keep_idle_connections(node: Node) -> None:
-    """Keep the policy from closing idle connections before it sends a request."""
+    """Remove the actions with which the policy closes idle connections before it sends a request."""
 
     def handle_without_closing(event: Event, now: float) -> list[Action]:
         return [action for action in handle(event, now) if not isinstance(action, CloseIdleConnections)]
--- a/tests/proxy/test_request_guard.py
+++ b/tests/proxy/test_request_guard.py
@@ -1,4 +1,7 @@
-"""Tests of the last check before an attempt is written or a request rejected, independent of the policy."""
+"""Tests of the last check before an attempt is written or a request is rejected.
+
+The check does not rely on the policy's records.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_request_table.py
+++ b/tests/proxy/test_request_table.py
@@ -1,4 +1,4 @@
-"""Tests that a client id is reserved until its request and the attempts of the request have ended."""
+"""Tests that a client's request id is reserved until the request and all its attempts have ended."""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_connection_opener.py
+++ b/tests/proxy/upstream/test_connection_opener.py
@@ -1,4 +1,4 @@
-"""Connects that are slow or fail locally, and the requests that wait for them."""
+"""Tests of connects that are slow or fail locally, and of the requests that wait for them."""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_endpoint_pool.py
+++ b/tests/proxy/upstream/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The selection of idle connections for requests, and the time for which they are kept."""
+"""Tests of how a pool selects idle connections for requests, and for how long it keeps them."""
 
 from __future__ import annotations
 
@@ -42,20 +42,21 @@
         writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 0)
         for behaviour in behaviours:
             await behaviour(server, received, writer)
-            await asyncio.sleep(0)  # so that each behaviour makes a separate write
+            await asyncio.sleep(0)  # the output of each behaviour is written separately
 
     return behave
 
 
 @async_test
 async def test_surplus_that_system_holds_back_is_not_read_as_next_response() -> None:
-    """The system sends the surplus bytes when the response is acknowledged.
+    """The system sends the surplus bytes only when it receives the acknowledgement of the response.
 
-    The next request acknowledges the response at the latest.
+    The acknowledgement is sent together with the next request, if it was not sent earlier.
     """
     single = _without_nodelay(reply("200 OK", b"answer"))
     doubled = _without_nodelay(reply("200 OK", b"answer"), reply("200 OK", b"surplus"))
-    exchanges = 8  # after a few, the system delays acknowledgements until it sends data, or by 40 ms
+    # After a few exchanges, the system delays each acknowledgement until it sends data, but at most by 40 ms.
+    exchanges = 8
     behaviours = [*[single] * exchanges, doubled, single]
     async with StubServer(behaviours) as endpoint, upstream(endpoint.address) as harness:
         (pool,) = harness.pools.pools
@@ -79,9 +80,10 @@
 @pytest.mark.usefixtures("no_reuse_delay")
 @async_test
 async def test_early_close_by_endpoint_shortens_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request that is sent during the close may have been processed.
+    """The node must not use an idle connection at the time at which the endpoint closes it.
 
-    It is therefore lost if it must not run twice.
+    A request that is sent during the close may have been processed.  It must not be sent again if it must not
+    run twice, and is therefore lost.
     """
     monkeypatch.setattr("load_balancer.proxy.upstream.idle_timeout.MIN_RECORDED_IDLE_S", 0.0)
     async with StubServer([reply("200 OK")]) as endpoint, upstream(endpoint.address) as harness:
--- a/tests/proxy/upstream/test_listed_pools.py
+++ b/tests/proxy/upstream/test_listed_pools.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list: endpoints that share or swap addresses, and the cost of an update."""
+"""Tests of endpoint list updates: endpoints that share or swap addresses, and the cost of an update."""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_pools.py
+++ b/tests/proxy/upstream/test_pools.py
@@ -1,4 +1,4 @@
-"""Requests that cannot be started, and the limit on the number of connections."""
+"""Tests of requests that cannot be started, and of the limit on the number of connections."""
 
 from __future__ import annotations
 
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,7 @@
-"""Tests that docs/operations.md lists the log events of the code, and that event names have one form."""
+"""Tests that docs/operations.md lists the log events of the code, and that event names have one form.
+
+An event name consists of a subject and a past participle.
+"""
 
 from __future__ import annotations
 
--- a/tools/adapter_protocol.py
+++ b/tools/adapter_protocol.py
@@ -1,6 +1,7 @@
-"""The adapter's command and the frames of its wire protocol, for tools that test the adapter as a process.
+"""Define the frames of the adapter's wire protocol, for tools that test the adapter as a process.
 
-This module is independent of ``load_balancer.simulator.codec``.  All numbers are little-endian and unpadded.
+The module also reads the command that starts the adapter.  It does not use ``load_balancer.simulator.codec``.
+All numbers are little-endian and unpadded.
 """
 
 from __future__ import annotations
--- a/tools/replay_stream.py
+++ b/tools/replay_stream.py
@@ -31,7 +31,7 @@
 
 STREAM = ROOT / "tests" / "data" / "stream.bin"
 MIN_FORWARDED_BY_CHANGING_INSTANCE = 21
-REQUEST_ID = struct.Struct("<4xI")  # follows the instance id
+REQUEST_ID = struct.Struct("<4xI")  # skips the 4 bytes of the instance id
 FAULT_TEXT_OFFSET = 6  # the text follows the instance id and the length of the text
 
 
--- a/tools/stream_recording.py
+++ b/tools/stream_recording.py
@@ -1,4 +1,4 @@
-"""The batches of tests/data/stream.bin, which contain the events of two policy instances.
+"""Generate the batches of tests/data/stream.bin, which contain the events of two policy instances.
 
 Instance 1 has one idle endpoint, so each of its requests must be forwarded to this endpoint at once.
 Instance 2 has several endpoints that are added, drained and restarted.  It receives no outcomes of its
