--- a/load_balancer/policy/automaton.py
+++ b/load_balancer/policy/automaton.py
@@ -67,7 +67,9 @@
             response of an endpoint, which then counts as having the mean of the other averages.
         alpha: the smoothing factor of the averages.
         theta: the learning rate of the vector, which depends on the number of endpoints.
-        theta_type: the learning rate of the shares of machine types; 0 if all endpoints are of one type.
+        theta_type: the learning rate of the shares of machine types; 0 if all endpoints are of one type.  The
+            share of a machine type is the sum of the probabilities of its endpoints.  Each of these
+            probabilities keeps the floor p_min.
     """
 
     def __init__(self, node_count: int = 1) -> None:
--- a/load_balancer/policy/congestion.py
+++ b/load_balancer/policy/congestion.py
@@ -74,6 +74,10 @@
 class CongestionMonitor:
     """Estimates congestion from the latencies that a node observes; latencies are in milliseconds.
 
+    A latency ratio is a latency divided by the latency objective of its class.  The mean latency ratio is
+    compared with a target, which depends on the objective and on the mean ratio when no requests queue.  The
+    mean latency is compared with a bound, which is a multiple of the baseline latency.
+
     Attributes:
         latency: the estimator of the latencies of all attempts.
         class_latencies: the estimators of the latencies of each class, by class index.
--- a/load_balancer/proxy/request_handler.py
+++ b/load_balancer/proxy/request_handler.py
@@ -28,9 +28,10 @@
 # cause delays and the client's deadline counts from the moment at which the client sends the request.
 BUDGET_RESERVE_MS = 25.0
 MAX_RESERVE_FRACTION = 0.2  # the reserve is at most this fraction of the client's budget
-# If the policy has not ended a request by the end of its budget, the node itself answers the request this
-# much later.  This is still before the client's deadline, because the reserve is longer, unless the client's
-# budget is very short.
+# A request's budget in the policy is roughly the client's budget less BUDGET_RESERVE_MS; see _budget_ms().
+# If the policy has not ended the request by the end of the budget in the policy, the node itself answers the
+# request this much later.  The client's deadline is normally later still, because the reserve is longer than
+# this delay.  If the client's budget is very short, MAX_RESERVE_FRACTION can make the reserve shorter.
 DEADLINE_TIMER_MS = 10.0
 
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -193,9 +193,11 @@
 
 
 def test_a_third_tier_raises_the_capacity_bound_as_it_raises_the_initial_limit() -> None:
-    """With three tiers, latencies of 1.7 times the baseline are no sign of congestion.
+    """With three tiers of servers, latencies of 1.7 times the baseline are no sign of congestion.
 
-    So the capacity bound must leave a margin above the number of requests in service.
+    The capacity bound limits a node's attempts in flight.  At a given rate of responses, the number of
+    attempts in flight is proportional to the latency.  At 1.7 times the baseline latency it is therefore 1.7
+    times the number in service.  So with three tiers the bound must exceed 1.7 times the number in service.
     """
     limits = []
     per_s = 60
--- a/tools/stream_recording.py
+++ b/tools/stream_recording.py
@@ -129,7 +129,11 @@
 
 
 def arrivals(step: int, steady_request: int) -> list[bytes]:
-    """Return one request arrival for each instance; the request class alternates between steps."""
+    """Return one request arrival for each instance; the request class alternates between steps.
+
+    The instances are the adapter's policy instances 1 and 2 in the recording.  A step is two consecutive
+    batches of the recording: the first contains these arrivals and the second contains the step's outcomes.
+    """
     class_index = step % 2
     return [
         arrival(STEADY_INSTANCE, steady_request, class_index, 900.0),
